--- a/crates/steering/src/route/suspect/abandoned.rs
+++ b/crates/steering/src/route/suspect/abandoned.rs
@@ -1,47 +1,51 @@
-//! Requests that were given up while an upstream ran them.
+//! Requests whose callers stopped waiting while an upstream was still running them.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use super::work::WorkIdentity;
 
-/// Time for which an upstream may still run a request that was given up, and end under it.
-const ABANDONED_FOR: Duration = Duration::from_secs(2);
-/// Requests kept in mind for an upstream, the last ones.
-const ABANDONED_MOST: usize = 32;
+/// Time for which an upstream may still be running an abandoned request, and crash because of it.
+const MAX_RUN_AFTER_ABANDONMENT: Duration = Duration::from_secs(2);
+/// Number of abandoned requests remembered per upstream; the oldest are dropped.
+const MAX_ABANDONED: usize = 32;
 
-/// A request that was given up.
+/// One abandoned request.
 #[derive(Debug, Clone, Copy)]
-struct Left {
+struct AbandonedRequest {
     work: WorkIdentity,
     sent: Instant,
-    left: Instant,
+    abandoned_at: Instant,
 }
 
-/// The requests that one start of an upstream was sent and whose callers did not wait for the
-/// answer, in the order in which they were given up.
+/// The requests that one start of an upstream received and that were abandoned before the answer,
+/// ordered by the time of abandonment.
 #[derive(Debug, Default)]
-pub struct Abandoned(VecDeque<Left>);
+pub struct Abandoned(VecDeque<AbandonedRequest>);
 
 impl Abandoned {
-    /// Notes a request that was sent at `sent` and is given up.
+    /// Records a request that was sent at `sent` and is abandoned at `now`.
     pub fn note(&mut self, now: Instant, work: WorkIdentity, sent: Instant) {
-        let is_over = |first: &Left| now.saturating_duration_since(first.left) >= ABANDONED_FOR;
-        while self.0.len() == ABANDONED_MOST || self.0.front().is_some_and(is_over) {
+        let is_expired = |first: &AbandonedRequest| {
+            now.saturating_duration_since(first.abandoned_at) >= MAX_RUN_AFTER_ABANDONMENT
+        };
+        while self.0.len() == MAX_ABANDONED || self.0.front().is_some_and(is_expired) {
             self.0.pop_front();
         }
-        self.0.push_back(Left {
+        self.0.push_back(AbandonedRequest {
             work,
             sent,
-            left: now,
+            abandoned_at: now,
         });
     }
 
-    /// Those that the upstream may have been running when it ended at `ended`, with when they
-    /// were sent. Each is told once.
+    /// Removes all records and returns the requests, with their send times, that the upstream may
+    /// still have been running when it crashed at `ended`.
     pub fn take(&mut self, ended: Instant) -> Vec<(WorkIdentity, Instant)> {
-        let ran = |left: &Left| ended.saturating_duration_since(left.left) < ABANDONED_FOR;
-        let taken = self.0.drain(..).filter(ran);
-        taken.map(|left| (left.work, left.sent)).collect()
+        let may_run = |request: &AbandonedRequest| {
+            ended.saturating_duration_since(request.abandoned_at) < MAX_RUN_AFTER_ABANDONMENT
+        };
+        let taken = self.0.drain(..).filter(may_run);
+        taken.map(|request| (request.work, request.sent)).collect()
     }
 }
--- a/crates/steering/src/route/suspect/mod.rs
+++ b/crates/steering/src/route/suspect/mod.rs
@@ -1,4 +1,5 @@
-//! Work under which upstreams end: found, told to all hosts, and kept from taking more down.
+//! Detection of repeated requests ("work") that crash upstreams. Hosts share what they find, and
+//! refuse such work before it crashes more upstreams.
 
 mod abandoned;
 mod news;
--- a/crates/steering/src/route/suspect/news.rs
+++ b/crates/steering/src/route/suspect/news.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of work under which upstreams end.
+//! Updates between hosts about work that crashes upstreams.
 
 use std::time::Duration;
 
@@ -6,42 +6,44 @@
 
 use super::work::WorkIdentity;
 
-/// Something learned of a request that may come again.
+/// Update about one piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkNews {
-    /// The work.
+    /// The work that the update is about.
     pub work: WorkIdentity,
-    /// What was learned.
+    /// What happened to the work.
     pub told: WorkTold,
 }
 
-/// What is learned of it.
+/// What happened to a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkTold {
-    /// An upstream has ended while it was in flight there.
+    /// An upstream crashed while the work was in flight there.
     Ended {
         /// Hash of the upstream's start.
         start: u64,
-        /// Time since the work was sent there, in milliseconds.
+        /// Time since the work was sent to the upstream, in milliseconds.
         sent_ms: u32,
-        /// Time since the end, in milliseconds.
+        /// Time since the crash, in milliseconds.
         ended_ms: u32,
     },
-    /// An upstream has answered it: whatever ended others was something else, or is mended.
+    /// An upstream answered the work, so the earlier crashes had another cause, or the fault is
+    /// fixed.
     Answered {
-        /// Time since the work was sent there, in milliseconds.
+        /// Time since the work was sent to the upstream, in milliseconds.
         sent_ms: u32,
     },
-    /// One request of it is sent to find out whether that is so; others wait for what comes.
+    /// A single trial request was sent to see whether the work still crashes upstreams. Other
+    /// requests wait for its result.
     Tried,
-    /// An operator wants it refused.
+    /// An operator ordered the work to be refused.
     Refused,
-    /// An operator wants it served again.
+    /// An operator ordered the work to be served again.
     Cleared,
 }
 
 impl WorkTold {
-    /// As it is told so much later.
+    /// The same update with all ages increased by `by`, for delivery after a delay.
     pub fn later(self, by: Duration) -> Self {
         let by = by.as_millis() as u32;
         match self {
--- a/crates/steering/src/route/suspect/state.rs
+++ b/crates/steering/src/route/suspect/state.rs
@@ -1,4 +1,5 @@
-//! What hosts know of refused work, as one asks another for what it may have missed.
+//! Replicated state of refused work, exchanged when a host asks another for updates that it
+//! missed.
 
 use std::time::{Duration, Instant};
 
@@ -7,47 +8,49 @@
 
 use super::work::WorkKey;
 
-/// Tells whether two hosts know the same.
+/// Digest over all shared states; equal digests mean that two hosts know the same.
 pub type WorkDigest = u64;
 
-/// How much is known of a request or an object. Each end, answer and clearing raises this, so
-/// that hosts agree whatever order they hear in; that one finds out does not.
+/// Version of the state of a request or an object. Each crash, answer and clearing raises the
+/// version, so that hosts converge whatever the order of delivery. Starting a trial does not raise
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WorkRank {
-    /// Times that it was cleared of what other hosts may hold against it.
+    /// Number of times that suspicion known to other hosts was cleared.
     pub clears: u32,
-    /// Ends since.
+    /// Crashes since the last clearing.
     pub ends: u32,
-    /// Answers since the last end.
+    /// Answers since the last crash.
     pub answers: u32,
 }
 
-/// What a host knows of a request or an object that is refused, or was.
+/// Replicated state of one request or object that is or was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkState {
-    /// Which one.
+    /// The request or object.
     pub key: WorkKey,
-    /// How much is known of it.
+    /// Version of this state.
     pub rank: WorkRank,
-    /// Hashes of the starts of upstreams that have ended under it, the last ones.
+    /// Hashes of the latest upstream starts that crashed while running this work.
     pub starts: Vec<u64>,
-    /// Time since the last end, in milliseconds; since it was cleared where there is none.
+    /// Time since the last crash, in milliseconds; since the clearing if there was no crash after
+    /// it.
     pub last_end_ms: u32,
-    /// Time since it was cleared last, in milliseconds.
+    /// Time since the last clearing, in milliseconds.
     pub cleared_ms: Option<u32>,
     /// Time since the last answer, in milliseconds.
     pub last_answer_ms: Option<u32>,
-    /// Time since a request was let through to find out, in milliseconds; none where none is.
+    /// Time since the current trial request was admitted, in milliseconds; `None` without a trial.
     pub tried_ms: Option<u32>,
 }
 
-/// The moment that lies so long before `now`; `now` where the clock does not reach so far back.
-pub(super) fn ago(now: Instant, age_ms: u32) -> Instant {
+/// The instant `age_ms` before `now`; `now` itself if the clock does not reach that far back.
+pub(super) fn instant_before(now: Instant, age_ms: u32) -> Instant {
     now.checked_sub(Duration::from_millis(age_ms.into()))
         .unwrap_or(now)
 }
 
-/// A part of the digest that does not depend on the others' order.
+/// Digest of one state. The digests are combined by XOR, so their order does not matter.
 pub(super) fn digest(key: WorkKey, rank: WorkRank) -> WorkDigest {
     let WorkRank {
         clears,
--- a/crates/steering/src/route/suspect/suspects.rs
+++ b/crates/steering/src/route/suspect/suspects.rs
@@ -1,86 +1,89 @@
-//! Which requests and objects are suspected of ending upstreams, and what becomes of them.
+//! The requests and objects that are suspected of crashing upstreams, and whether they are
+//! admitted.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::news::WorkTold;
-use super::state::{WorkDigest, WorkState, ago, digest};
+use super::state::{WorkDigest, WorkState, digest, instant_before};
 use super::suspicion::Suspicion;
 use super::work::{WorkIdentity, WorkKey};
 use crate::rendezvous;
 
-/// Requests and objects that are kept in mind. An end brings some for each host, and most are
-/// cleared with their next answer.
-const KNOWN_MOST: usize = 4_096;
+/// Upper bound of suspicions kept. A crash adds a few per host, and most are removed with the next
+/// answer.
+const MAX_SUSPICIONS: usize = 4_096;
 
-/// Requests and objects that another host is told of at once.
-const STATES_MOST: usize = 256;
+/// Upper bound of states sent to another host in one message.
+const MAX_STATES_PER_MESSAGE: usize = 256;
 
-/// Time after which what others know counts as missed: that of some questions. A host that
-/// hears nobody lets no request find out, since another host may just have done so.
-const COMPARED_FOR: Duration = Duration::from_secs(3);
+/// Time without a state from another host after which updates count as missed; allows for a few
+/// failed requests. A host without contact to others admits no trial, since another host may have
+/// run one already.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What may be done with a request.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Nothing is known against its work.
+    /// No crashes are known that would restrict it.
     Free,
-    /// It is the one that finds out.
+    /// It is sent as the one trial request.
     Trial,
-    /// It is not sent; another one may be after this time.
+    /// It is not sent; the work may be tried again after this time.
     Refused(Duration),
 }
 
 /// A request or an object that is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusedWork {
-    /// Which one.
+    /// Key of the request or object.
     pub work: WorkKey,
-    /// Ends of upstreams under it, one after the other.
+    /// Consecutive crashes of upstreams.
     pub ends: u32,
-    /// Time after which this host lets a request find out.
+    /// Time until this host admits a trial.
     pub refused_for: Duration,
 }
 
-/// All that this host knows something against, by its own requests or by others' word.
+/// Suspicions of this host, from its own requests and from other hosts' updates.
 ///
-/// Evidence is that of a request that comes again. An object is refused where two requests for
-/// it are, with no answer for it between.
+/// Crashes count against the request. An object is refused if two requests for it are refused with
+/// no answer for the object between them.
 #[derive(Debug)]
 pub struct Suspects {
-    known: HashMap<WorkKey, Suspicion>,
-    /// From 0 to 1, another one on each host.
-    apart: f64,
-    /// When another host last told what it knows; none where none ever has, as on a host that is
-    /// alone.
-    compared: Option<Instant>,
+    suspicions: HashMap<WorkKey, Suspicion>,
+    /// From 0 to 1, different on each host.
+    jitter: f64,
+    /// When another host last sent its state; `None` if none ever has, as on a single host.
+    last_sync_at: Option<Instant>,
 }
 
 impl Suspects {
-    /// Nothing known yet, on the host `me`.
+    /// No suspicions; `me` is the name of this host.
     pub fn new(me: &str) -> Self {
         Suspects {
-            known: HashMap::new(),
-            apart: rendezvous::hash(me.as_bytes()) as f64 / u64::MAX as f64,
-            compared: None,
+            suspicions: HashMap::new(),
+            jitter: rendezvous::hash(me.as_bytes()) as f64 / u64::MAX as f64,
+            last_sync_at: None,
         }
     }
 
-    /// What may be done with a request that has come. One that finds out is told to others.
+    /// Decides on a new request. The caller announces a [`Admission::Trial`] to the other hosts.
     pub fn admit(&mut self, now: Instant, work: WorkIdentity) -> Admission {
-        let apart = self.apart;
+        let jitter = self.jitter;
         let mut admission = Admission::Free;
         for key in work.keys() {
-            let Some(known) = self.known.get(&key) else {
+            let Some(suspicion) = self.suspicions.get(&key) else {
                 continue;
             };
-            if !known.is_remembered(now) {
-                self.known.remove(&key);
-            } else if known.is_refused() {
-                let left = known.refused_until(apart).saturating_duration_since(now);
+            if !suspicion.is_remembered(now) {
+                self.suspicions.remove(&key);
+            } else if suspicion.is_refused() {
+                let remaining = suspicion
+                    .refused_until(jitter)
+                    .saturating_duration_since(now);
                 admission = match admission {
-                    Admission::Refused(most) => Admission::Refused(most.max(left)),
-                    _ if !left.is_zero() => Admission::Refused(left),
+                    Admission::Refused(longest) => Admission::Refused(longest.max(remaining)),
+                    _ if !remaining.is_zero() => Admission::Refused(remaining),
                     _ => Admission::Trial,
                 };
             }
@@ -88,145 +91,150 @@
         if admission != Admission::Trial {
             return admission;
         }
-        if let Some(wait) = self.hears_nobody_for(now) {
+        if let Some(wait) = self.missed_sync_wait(now) {
             return Admission::Refused(wait);
         }
-        self.tried(now, work);
+        self.record_trial(now, work);
         Admission::Trial
     }
 
-    /// Time after which to come back to a host that has not heard for too long what others
-    /// know; none where it has, or is alone.
-    fn hears_nobody_for(&self, now: Instant) -> Option<Duration> {
-        let since = now.saturating_duration_since(self.compared?);
-        (since > COMPARED_FOR).then_some(COMPARED_FOR)
+    /// Time after which a caller may return if this host has been without other hosts' state for
+    /// too long; `None` if the state is recent, or the host is alone.
+    fn missed_sync_wait(&self, now: Instant) -> Option<Duration> {
+        let since = now.saturating_duration_since(self.last_sync_at?);
+        (since > SYNC_TIMEOUT).then_some(SYNC_TIMEOUT)
     }
 
-    /// Notes that another host has told all that it knows.
+    /// Records that another host has sent its whole state.
     pub fn compared(&mut self, now: Instant) {
-        self.compared = Some(now);
+        self.last_sync_at = Some(now);
     }
 
-    /// Notes that there is no other host.
+    /// Records that there is no other host.
     pub fn note_alone(&mut self) {
-        self.compared = None;
+        self.last_sync_at = None;
     }
 
-    /// Whether a request may be sent once more after its upstream has ended. One end is most
-    /// often another request's doing; after two the third upstream would be the next.
+    /// Whether a request may be retried after its upstream crashed. A single crash is most often
+    /// another request's fault; after two, a retry would probably crash a third upstream.
     pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
-        let mut known = work.keys().filter_map(|key| self.known.get(&key));
-        known.all(|known| !known.is_refused())
+        let mut suspicions = work.keys().filter_map(|key| self.suspicions.get(&key));
+        suspicions.all(|suspicion| !suspicion.is_refused())
     }
 
-    /// Ends known against a request and its object.
+    /// Crashes known of a request and of its object, added up.
     pub fn ends_of(&self, work: WorkIdentity) -> u32 {
         work.keys().map(|key| self.ends(key)).sum()
     }
 
-    /// For how long a request that was let in with `ends` known may not be sent any more, where its
-    /// work was refused since, or has ended another upstream.
+    /// How long a request that was admitted with `ends` known crashes may not be sent any more,
+    /// because its work was refused since, or has crashed another upstream.
     pub fn barred_for(&self, now: Instant, work: WorkIdentity, ends: u32) -> Option<Duration> {
         if self.may_be_repeated(work) || self.ends_of(work) <= ends {
             return None;
         }
-        let known = work.keys().filter_map(|key| self.known.get(&key));
-        let refused = known.filter(|known| known.is_refused());
-        let until = refused.map(|known| known.refused_until(self.apart));
+        let suspicions = work.keys().filter_map(|key| self.suspicions.get(&key));
+        let refused = suspicions.filter(|suspicion| suspicion.is_refused());
+        let until = refused.map(|suspicion| suspicion.refused_until(self.jitter));
         until
             .max()
             .map(|until| until.saturating_duration_since(now))
     }
 
-    /// Takes what this host has seen or was told; true where that is new, and others should be
-    /// told.
+    /// Applies an event that this host saw or another host reported; true if it is new, and other
+    /// hosts should be told.
     pub fn take(&mut self, now: Instant, work: WorkIdentity, told: WorkTold) -> bool {
-        let ago = |age_ms| ago(now, age_ms);
+        let at = |age_ms| instant_before(now, age_ms);
         match told {
             WorkTold::Ended {
                 start,
                 sent_ms,
                 ended_ms,
-            } => self.ended(now, work, start, ago(sent_ms), ago(ended_ms)),
-            WorkTold::Answered { sent_ms } => self.answered(now, work, ago(sent_ms)),
+            } => self.record_crash(now, work, start, at(sent_ms), at(ended_ms)),
+            WorkTold::Answered { sent_ms } => self.record_answer(now, work, at(sent_ms)),
             WorkTold::Refused => {
-                self.suspicion(now, work.request, now).refuse(now);
+                self.suspicion_mut(now, work.request, now).refuse(now);
                 true
             }
             WorkTold::Cleared => self.clear(now, work.request),
-            WorkTold::Tried => self.tried(now, work),
+            WorkTold::Tried => self.record_trial(now, work),
         }
     }
 
-    fn tried(&mut self, now: Instant, work: WorkIdentity) -> bool {
+    fn record_trial(&mut self, now: Instant, work: WorkIdentity) -> bool {
         let mut is_new = false;
         for key in work.keys() {
-            let known = self.known.get_mut(&key).filter(|known| known.is_refused());
-            is_new |= known.is_some_and(|known| known.try_once(now));
+            let suspicion = self
+                .suspicions
+                .get_mut(&key)
+                .filter(|suspicion| suspicion.is_refused());
+            is_new |= suspicion.is_some_and(|suspicion| suspicion.start_trial(now));
         }
         is_new
     }
 
-    fn answered(&mut self, now: Instant, work: WorkIdentity, sent: Instant) -> bool {
+    fn record_answer(&mut self, now: Instant, work: WorkIdentity, sent: Instant) -> bool {
         let mut is_new = false;
         for key in work.keys() {
-            let Some(known) = self.known.get_mut(&key) else {
+            let Some(suspicion) = self.suspicions.get_mut(&key) else {
                 continue;
             };
-            is_new |= known.answered(now, sent);
-            if known.is_cleared() {
+            is_new |= suspicion.record_answer(now, sent);
+            if suspicion.is_cleared() {
                 self.clear(now, key);
             }
         }
         is_new
     }
 
-    /// Takes back what is held against `key`; false where nothing is.
+    /// Clears the suspicion against `key`; false if there is none.
     fn clear(&mut self, now: Instant, key: WorkKey) -> bool {
-        let Some(known) = self.known.get_mut(&key) else {
+        let Some(suspicion) = self.suspicions.get_mut(&key) else {
             return false;
         };
-        let is_new = known.ends > 0;
-        known.clear(now);
-        if !known.is_shared() {
-            self.known.remove(&key);
+        let is_new = suspicion.crashes > 0;
+        suspicion.clear(now);
+        if !suspicion.is_shared() {
+            self.suspicions.remove(&key);
         }
         is_new
     }
 
-    /// Tells whether another host knows the same of what is refused, or was.
+    /// Digest over the shared states, to compare with that of another host.
     pub fn digest(&self, now: Instant) -> WorkDigest {
         let shared = self.shared(now);
-        shared.fold(0, |all, (key, known)| all ^ digest(*key, known.rank()))
+        shared.fold(0, |all, (key, suspicion)| {
+            all ^ digest(*key, suspicion.rank())
+        })
     }
 
-    /// What is refused, or was, as it is told at `now`: what has ended most upstreams comes first.
+    /// The shared states with ages as of `now`, those with the most crashes first.
     pub fn states(&self, now: Instant) -> Vec<WorkState> {
         let mut states: Vec<WorkState> = self
             .shared(now)
-            .map(|(key, known)| known.state(now, *key))
+            .map(|(key, suspicion)| suspicion.state(now, *key))
             .collect();
         states
             .sort_unstable_by_key(|state| (std::cmp::Reverse(state.rank.ends), state.last_end_ms));
-        states.truncate(STATES_MOST);
+        states.truncate(MAX_STATES_PER_MESSAGE);
         states
     }
 
     fn shared(&self, now: Instant) -> impl Iterator<Item = (&WorkKey, &Suspicion)> {
-        let shared = self.known.iter();
-        shared.filter(move |(_, known)| known.is_shared() && known.is_remembered(now))
+        let shared = self.suspicions.iter();
+        shared.filter(move |(_, suspicion)| suspicion.is_shared() && suspicion.is_remembered(now))
     }
 
-    /// Takes what another host knows of a request or an object, where that is more.
+    /// Takes over another host's state if its version is higher.
     pub fn merge(&mut self, now: Instant, state: &WorkState) {
-        let known = self.suspicion(now, state.key, now);
-        known.merge(now, state);
-        if !known.is_shared() || !known.is_remembered(now) {
-            self.known.remove(&state.key);
+        let suspicion = self.suspicion_mut(now, state.key, now);
+        suspicion.merge(now, state);
+        if !suspicion.is_shared() || !suspicion.is_remembered(now) {
+            self.suspicions.remove(&state.key);
         }
     }
 
-    fn ended(
+    fn record_crash(
         &mut self,
         now: Instant,
         work: WorkIdentity,
@@ -234,8 +242,8 @@
         sent: Instant,
         ended: Instant,
     ) -> bool {
-        let request = self.suspicion(now, work.request, ended);
-        if !request.count_end(start, sent, ended) {
+        let request = self.suspicion_mut(now, work.request, ended);
+        if !request.count_crash(start, sent, ended) {
             return false;
         }
         let is_refused = request.is_refused();
@@ -243,40 +251,42 @@
             return true;
         }
         if self
-            .known
+            .suspicions
             .get(&work.object)
             .is_some_and(Suspicion::is_refused)
         {
-            self.suspicion(now, work.object, ended)
-                .count_end(start, sent, ended);
+            self.suspicion_mut(now, work.object, ended)
+                .count_crash(start, sent, ended);
         } else if is_refused {
-            self.suspicion(now, work.object, ended)
-                .count_request(work.request, ended);
+            self.suspicion_mut(now, work.object, ended)
+                .count_refused_request(work.request, ended);
         }
         true
     }
 
-    /// What is known against `key`, begun at `at` where nothing is.
-    fn suspicion(&mut self, now: Instant, key: WorkKey, at: Instant) -> &mut Suspicion {
+    /// The suspicion against `key`; a new one starts at `at`.
+    fn suspicion_mut(&mut self, now: Instant, key: WorkKey, at: Instant) -> &mut Suspicion {
         self.make_room(now, key);
-        let known = self.known.entry(key);
-        known.or_insert_with(|| Suspicion::new(at))
+        let entry = self.suspicions.entry(key);
+        entry.or_insert_with(|| Suspicion::new(at))
     }
 
-    /// Ends under a request or an object, for the log.
+    /// Crashes known of a request or an object, for the log.
     pub fn ends(&self, key: WorkKey) -> u32 {
-        self.known.get(&key).map_or(0, |known| known.ends)
+        self.suspicions
+            .get(&key)
+            .map_or(0, |suspicion| suspicion.crashes)
     }
 
-    /// Requests and objects that are refused now, by key.
+    /// Requests and objects that are refused now, sorted by key.
     pub fn refused(&self, now: Instant) -> Vec<RefusedWork> {
-        let refused = self.known.iter().filter_map(|(work, known)| {
-            let until = known.last_end + known.refused_for(self.apart);
+        let refused = self.suspicions.iter().filter_map(|(work, suspicion)| {
+            let until = suspicion.last_crash_at + suspicion.refused_for(self.jitter);
             let refused_for = until.saturating_duration_since(now);
-            let is_refused = known.is_refused() && !refused_for.is_zero();
+            let is_refused = suspicion.is_refused() && !refused_for.is_zero();
             is_refused.then_some(RefusedWork {
                 work: *work,
-                ends: known.ends,
+                ends: suspicion.crashes,
                 refused_for,
             })
         });
@@ -286,18 +296,20 @@
     }
 
     fn make_room(&mut self, now: Instant, key: WorkKey) {
-        if self.known.len() < KNOWN_MOST || self.known.contains_key(&key) {
+        if self.suspicions.len() < MAX_SUSPICIONS || self.suspicions.contains_key(&key) {
             return;
         }
-        self.known.retain(|_, known| known.is_remembered(now));
-        if self.known.len() < KNOWN_MOST {
+        self.suspicions
+            .retain(|_, suspicion| suspicion.is_remembered(now));
+        if self.suspicions.len() < MAX_SUSPICIONS {
             return;
         }
-        // Those with the fewest ends and the oldest are the least likely to be the cause.
-        let first = self.known.iter();
-        let first = first.min_by_key(|(_, known)| (known.ends, known.last_end));
-        if let Some(key) = first.map(|(key, _)| *key) {
-            self.known.remove(&key);
+        // Suspicions with the fewest and oldest crashes are the least likely to be justified.
+        let weakest = self.suspicions.iter();
+        let weakest =
+            weakest.min_by_key(|(_, suspicion)| (suspicion.crashes, suspicion.last_crash_at));
+        if let Some(key) = weakest.map(|(key, _)| *key) {
+            self.suspicions.remove(&key);
         }
     }
 }
--- a/crates/steering/src/route/suspect/suspicion.rs
+++ b/crates/steering/src/route/suspect/suspicion.rs
@@ -1,245 +1,253 @@
-//! What is known against a request that comes again, or an object.
+//! What a host knows against one repeated request or object.
 
 use std::time::{Duration, Instant};
 
-use super::state::{WorkRank, WorkState, ago};
+use super::state::{WorkRank, WorkState, instant_before};
 use super::work::WorkKey;
 
-/// Ends from which on it is not sent, but to find out. One tells little: whatever else was in
-/// flight at the upstream may have been the cause. Other requests are answered elsewhere before
-/// a second one comes.
+/// Number of crashes from which on the work is sent only as a trial. A single crash proves little,
+/// since any other request in flight at the upstream may have caused it. Innocent requests are
+/// answered by another upstream before a second crash.
 pub const ENDS_REFUSED: u32 = 2;
-/// Time after the second end in which it is refused: longer than an upstream takes to be
-/// back, since what finds out may end the next one.
-const REFUSED_AT_FIRST: Duration = Duration::from_secs(5);
-/// Times that this grows with each further end.
-const REFUSED_GROWS: u32 = 4;
-/// Share of the time by which hosts wait apart: each would else find out in the same moment, and
-/// end an upstream of its own.
-const APART_SHARE: f64 = 0.5;
-/// Longest time: each request that finds out may end an upstream. An operator who has mended it
-/// has it served at once.
-const REFUSED_MOST: Duration = Duration::from_secs(3_600);
-/// Ends for which it counts where an operator wants it refused.
-const ENDS_BY_OPERATOR: u32 = ENDS_REFUSED + 3;
-/// Answers, one after the other, after which what was refused is served again: requests for
-/// the same object may be of more than one kind, and some of them harmless.
-const ANSWERS_CLEAR: u32 = 3;
-/// Time between two of these.
-const ANSWERS_APART: Duration = Duration::from_millis(500);
-/// Time for which others wait for the request that finds out. One that takes longer is found
-/// out by another.
-const TRIED_FOR: Duration = Duration::from_secs(3);
-/// Time after which an end is forgotten, where it is not refused for longer.
-const REMEMBERED: Duration = Duration::from_secs(30);
-/// Time for which it is remembered that it was cleared: longer than another host may hold what was
-/// before, and tell it.
-const CLEARED_REMEMBERED: Duration = REFUSED_MOST.saturating_mul(4);
-/// Starts of upstreams remembered, so that one end told by two counts once.
-const STARTS_MOST: usize = 8;
+/// Refusal time after the second crash. It exceeds an upstream's restart time, because the trial
+/// that follows may crash the next upstream.
+const BASE_REFUSAL: Duration = Duration::from_secs(5);
+/// Factor by which the refusal time grows with each further crash.
+const REFUSAL_MULTIPLIER: u32 = 4;
+/// Largest jitter, as a share of the refusal time. Without jitter all hosts would run their trials
+/// at the same moment, and each would crash an upstream.
+const JITTER_RATIO: f64 = 0.5;
+/// Upper bound of the refusal time, since each trial may crash an upstream. An operator who has
+/// fixed the fault can clear the work without waiting.
+const MAX_REFUSAL: Duration = Duration::from_secs(3_600);
+/// Number of crashes assumed for work that an operator orders to be refused.
+const OPERATOR_REFUSAL_CRASHES: u32 = ENDS_REFUSED + 3;
+/// Consecutive answers after which refused work is served again. One answer is not enough, since
+/// requests for the same object may differ and some of them be harmless.
+const ANSWERS_TO_CLEAR: u32 = 3;
+/// Minimum time between an answered trial and the next one.
+const MIN_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time for which other requests wait for the result of a trial. After this another trial may
+/// start.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which a crash is forgotten, unless the refusal lasts longer.
+const CRASH_RETENTION: Duration = Duration::from_secs(30);
+/// Time for which a clearing is remembered: longer than any other host may keep, and send, the
+/// state from before the clearing.
+const CLEARING_RETENTION: Duration = MAX_REFUSAL.saturating_mul(4);
+/// Upstream starts remembered, so that a crash reported by two hosts counts once.
+const MAX_STARTS: usize = 8;
 
 /// What is known against one request or object.
 #[derive(Debug)]
 pub(super) struct Suspicion {
-    /// Starts of upstreams that have ended under it, the last ones.
+    /// Hashes of the latest upstream starts that crashed while running this work.
     starts: Vec<u64>,
-    /// Refused requests for this object since its last answer; empty for a request. Never more
-    /// than [`ENDS_REFUSED`].
-    requests: Vec<WorkKey>,
-    /// Ends one after the other: what was in flight at several upstreams as all of them ended
-    /// counts once, as where a zone loses its power.
-    pub ends: u32,
-    /// When the last one was, or when it was cleared where there is none since.
-    pub last_end: Instant,
-    /// Times that it was cleared of what other hosts may hold against it; grows only.
+    /// For an object: requests for it that became refused since its last answer, [`ENDS_REFUSED`]
+    /// at most. Empty for a request.
+    refused_requests: Vec<WorkKey>,
+    /// Consecutive crashes. Requests that were in flight at several upstreams when all of them
+    /// crashed count one crash, since such crashes (as in a zone's power failure) have a common
+    /// cause.
+    pub crashes: u32,
+    /// Time of the last crash, or of the last clearing if there was no crash after it.
+    pub last_crash_at: Instant,
+    /// Number of times that suspicion known to other hosts was cleared; never decreases.
     clears: u32,
-    /// When it was cleared last.
-    cleared: Option<Instant>,
-    /// Since when a request finds out.
-    tried_since: Option<Instant>,
-    /// Answers since the last end to requests that found out.
+    /// Time of the last clearing.
+    cleared_at: Option<Instant>,
+    /// Start of the trial under way.
+    trial_since: Option<Instant>,
+    /// Answers to trial requests since the last crash.
     answers: u32,
-    last_answer: Option<Instant>,
+    last_answer_at: Option<Instant>,
 }
 
 impl Suspicion {
-    /// Nothing so far.
+    /// No crashes known.
     pub fn new(now: Instant) -> Self {
         Suspicion {
             starts: Vec::new(),
-            requests: Vec::new(),
-            ends: 0,
-            last_end: now,
+            refused_requests: Vec::new(),
+            crashes: 0,
+            last_crash_at: now,
             clears: 0,
-            cleared: None,
-            tried_since: None,
+            cleared_at: None,
+            trial_since: None,
             answers: 0,
-            last_answer: None,
+            last_answer_at: None,
         }
     }
 
-    /// Whether it is sent only to find out.
+    /// Whether the work is sent only as a trial.
     pub fn is_refused(&self) -> bool {
-        self.ends >= ENDS_REFUSED
+        self.crashes >= ENDS_REFUSED
     }
 
-    /// Time for which it is refused; `apart` is a number of the host's own from 0 to 1.
-    pub fn refused_for(&self, apart: f64) -> Duration {
-        let Some(more) = self.ends.checked_sub(ENDS_REFUSED) else {
+    /// How long the work is refused after its last crash; `jitter` is a constant of this host from
+    /// 0 to 1.
+    pub fn refused_for(&self, jitter: f64) -> Duration {
+        let Some(more) = self.crashes.checked_sub(ENDS_REFUSED) else {
             return Duration::ZERO;
         };
-        let times = REFUSED_GROWS.saturating_pow(more);
-        let refused = REFUSED_AT_FIRST.saturating_mul(times).min(REFUSED_MOST);
-        refused.mul_f64(1.0 + APART_SHARE * apart)
-    }
-
-    /// Until when it is refused.
-    pub fn refused_until(&self, apart: f64) -> Instant {
-        let by_ends = self.last_end + self.refused_for(apart);
-        let apart = ANSWERS_APART.mul_f64(1.0 + APART_SHARE * apart);
-        let by_answers = self.last_answer.map(|at| at + apart);
-        let by_trial = self.tried_since.map(|since| since + TRIED_FOR);
+        let times = REFUSAL_MULTIPLIER.saturating_pow(more);
+        let refused = BASE_REFUSAL.saturating_mul(times).min(MAX_REFUSAL);
+        refused.mul_f64(1.0 + JITTER_RATIO * jitter)
+    }
+
+    /// Time until which the work is refused: by its crashes, its last answer, or the trial under
+    /// way.
+    pub fn refused_until(&self, jitter: f64) -> Instant {
+        let by_crashes = self.last_crash_at + self.refused_for(jitter);
+        let trial_interval = MIN_TRIAL_INTERVAL.mul_f64(1.0 + JITTER_RATIO * jitter);
+        let by_answers = self.last_answer_at.map(|at| at + trial_interval);
+        let by_trial = self.trial_since.map(|since| since + TRIAL_TIMEOUT);
         let later = |until: Instant, other: Option<Instant>| other.map_or(until, |o| o.max(until));
-        later(later(by_ends, by_answers), by_trial)
+        later(later(by_crashes, by_answers), by_trial)
     }
 
-    /// Whether it still says anything.
+    /// Whether this record still affects any decision.
     pub fn is_remembered(&self, now: Instant) -> bool {
         let since = |at: Instant| now.saturating_duration_since(at);
-        let was_cleared = self.cleared.map(since);
-        since(self.last_end) < REMEMBERED.max(2 * self.refused_for(1.0))
-            || was_cleared.is_some_and(|since| since < CLEARED_REMEMBERED)
+        let was_cleared = self.cleared_at.map(since);
+        since(self.last_crash_at) < CRASH_RETENTION.max(2 * self.refused_for(1.0))
+            || was_cleared.is_some_and(|since| since < CLEARING_RETENTION)
     }
 
-    /// Notes that a request finds out; true where none did before.
-    pub fn try_once(&mut self, now: Instant) -> bool {
-        self.tried_since.replace(now).is_none()
+    /// Records the start of a trial; true unless another trial was under way.
+    pub fn start_trial(&mut self, now: Instant) -> bool {
+        self.trial_since.replace(now).is_none()
     }
 
-    /// Counts the end of an upstream's start; false where that is known.
-    pub fn count_end(&mut self, start: u64, sent: Instant, ended: Instant) -> bool {
+    /// Counts the crash of an upstream start; false if this crash was counted before.
+    pub fn count_crash(&mut self, start: u64, sent_at: Instant, crashed_at: Instant) -> bool {
         if self.starts.contains(&start) {
             return false;
         }
-        if self.starts.len() == STARTS_MOST {
+        if self.starts.len() == MAX_STARTS {
             self.starts.remove(0);
         }
         self.starts.push(start);
-        // What was sent before it was refused counts on to the third end: that of all ends
-        // together one was by chance is likely, that two were is not.
-        let is_third = self.ends == ENDS_REFUSED && self.starts.len() > ENDS_REFUSED as usize;
-        if self.ends == 0 || is_third || sent >= self.last_end {
-            self.ends += 1;
-            self.end_at(ended);
+        // The third crash counts even if the work was sent before the second one: among three
+        // crashes one coincidence is likely, two are not.
+        let is_third_crash =
+            self.crashes == ENDS_REFUSED && self.starts.len() > ENDS_REFUSED as usize;
+        if self.crashes == 0 || is_third_crash || sent_at >= self.last_crash_at {
+            self.crashes += 1;
+            self.record_crash(crashed_at);
         }
         true
     }
 
-    /// Counts a request for this object that is refused since an end.
-    pub fn count_request(&mut self, request: WorkKey, ended: Instant) {
-        if !self.requests.contains(&request) {
-            self.requests.push(request);
-            self.ends += 1;
-            self.end_at(ended);
+    /// Counts a request for this object that became refused.
+    pub fn count_refused_request(&mut self, request: WorkKey, crashed_at: Instant) {
+        if !self.refused_requests.contains(&request) {
+            self.refused_requests.push(request);
+            self.crashes += 1;
+            self.record_crash(crashed_at);
         }
     }
 
-    /// Does what an operator wants.
+    /// Applies an operator's order to refuse the work.
     pub fn refuse(&mut self, now: Instant) {
-        self.ends = ENDS_BY_OPERATOR.max(self.ends + 1);
-        self.end_at(now);
+        self.crashes = OPERATOR_REFUSAL_CRASHES.max(self.crashes + 1);
+        self.record_crash(now);
     }
 
-    /// Counts all that follows from an end.
-    fn end_at(&mut self, ended: Instant) {
-        self.last_end = self.last_end.max(ended);
-        self.tried_since = None;
+    /// Records the time of a crash and resets trial and answers.
+    fn record_crash(&mut self, crashed_at: Instant) {
+        self.last_crash_at = self.last_crash_at.max(crashed_at);
+        self.trial_since = None;
         self.answers = 0;
-        self.last_answer = None;
+        self.last_answer_at = None;
     }
 
-    /// Takes an answer to what was sent at `sent`; whether that says anything.
-    pub fn answered(&mut self, now: Instant, sent: Instant) -> bool {
-        // What was under way at the last end has found nothing out since.
-        let is_doubted = self.is_refused() || !self.requests.is_empty();
-        if self.ends == 0 || (is_doubted && sent < self.last_end) {
+    /// Records an answer to work that was sent at `sent`; false if the answer proves nothing.
+    pub fn record_answer(&mut self, now: Instant, sent_at: Instant) -> bool {
+        // Work in flight at the time of the last crash proves nothing about later work.
+        let is_suspected = self.is_refused() || !self.refused_requests.is_empty();
+        if self.crashes == 0 || (is_suspected && sent_at < self.last_crash_at) {
             return false;
         }
         self.answers += 1;
-        self.last_answer = Some(now);
-        self.tried_since = None;
+        self.last_answer_at = Some(now);
+        self.trial_since = None;
         true
     }
 
-    /// Takes back all that is held against it.
+    /// Clears all suspicion.
     pub fn clear(&mut self, now: Instant) {
-        // What other hosts may hold must rank lower than this.
-        if self.ends > 0 && self.is_shared() {
+        // The new version must be higher than any that other hosts may hold.
+        if self.crashes > 0 && self.is_shared() {
             self.clears += 1;
-            self.cleared = Some(now);
+            self.cleared_at = Some(now);
         }
         *self = Suspicion {
             clears: self.clears,
-            cleared: self.cleared,
+            cleared_at: self.cleared_at,
             ..Suspicion::new(now)
         };
     }
 
-    /// Whether it says anything that other hosts must know as well.
+    /// Whether other hosts must know this state as well.
     pub fn is_shared(&self) -> bool {
         self.is_refused() || self.clears > 0
     }
 
-    /// How much is known of it: of two hosts' knowledge the higher holds.
+    /// Version of this state; of two hosts' states the higher version wins.
     pub fn rank(&self) -> WorkRank {
         WorkRank {
             clears: self.clears,
-            ends: self.ends,
+            ends: self.crashes,
             answers: self.answers,
         }
     }
 
-    /// What is known of it, to be told at `now`.
+    /// The state to send to other hosts, with ages as of `now`.
     pub fn state(&self, now: Instant, key: WorkKey) -> WorkState {
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u32;
         WorkState {
             key,
             rank: self.rank(),
             starts: self.starts.clone(),
-            last_end_ms: age_ms(self.last_end),
-            cleared_ms: self.cleared.map(age_ms),
-            last_answer_ms: self.last_answer.map(age_ms),
-            tried_ms: self.tried_since.map(age_ms),
+            last_end_ms: age_ms(self.last_crash_at),
+            cleared_ms: self.cleared_at.map(age_ms),
+            last_answer_ms: self.last_answer_at.map(age_ms),
+            tried_ms: self.trial_since.map(age_ms),
         }
     }
 
-    /// Takes what another host knows, where that is more.
+    /// Takes over another host's state if its version is higher.
     pub fn merge(&mut self, now: Instant, state: &WorkState) {
         if state.rank <= self.rank() {
             return;
         }
-        let at = |age_ms| ago(now, age_ms);
-        let cleared = state.cleared_ms.map(at);
-        // Ends after it was cleared there count on.
-        let is_older = cleared.is_some_and(|cleared| cleared < self.last_end);
-        if state.rank.clears > self.clears && state.rank.ends < self.ends && is_older {
+        let at = |age_ms| instant_before(now, age_ms);
+        let cleared_at = state.cleared_ms.map(at);
+        // Crashes after the other host's clearing remain counted.
+        let crashed_after_clearing =
+            cleared_at.is_some_and(|cleared_at| cleared_at < self.last_crash_at);
+        if state.rank.clears > self.clears
+            && state.rank.ends < self.crashes
+            && crashed_after_clearing
+        {
             self.clears = state.rank.clears;
-            self.cleared = cleared;
+            self.cleared_at = cleared_at;
             return;
         }
         self.clears = state.rank.clears;
-        self.cleared = cleared;
-        self.ends = state.rank.ends;
+        self.cleared_at = cleared_at;
+        self.crashes = state.rank.ends;
         self.answers = state.rank.answers;
-        self.last_end = at(state.last_end_ms);
-        self.last_answer = state.last_answer_ms.map(at);
-        self.tried_since = state.tried_ms.map(at);
-        let known = state.starts.iter().take(STARTS_MOST);
+        self.last_crash_at = at(state.last_end_ms);
+        self.last_answer_at = state.last_answer_ms.map(at);
+        self.trial_since = state.tried_ms.map(at);
+        let known = state.starts.iter().take(MAX_STARTS);
         self.starts = known.copied().collect();
     }
 
-    /// Whether its answers have shown that it ends no upstream, or does so no more.
+    /// Whether answers have shown that the work crashes no upstream any more.
     pub fn is_cleared(&self) -> bool {
-        self.answers > 0 && (!self.is_refused() || self.answers >= ANSWERS_CLEAR)
+        self.answers > 0 && (!self.is_refused() || self.answers >= ANSWERS_TO_CLEAR)
     }
 }
--- a/crates/steering/src/route/suspect/work.rs
+++ b/crates/steering/src/route/suspect/work.rs
@@ -1,39 +1,40 @@
-//! What is the same about requests that do the same work.
+//! Identity of repeated requests ("work"), derived from their contents.
 
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash3_64;
 
-/// A request that comes again, or an object, the same on every host.
+/// Hash that identifies a repeated request or an object; equal on every host.
 pub type WorkKey = u64;
 
-/// What a request is known by where it comes again.
+/// Keys by which a repeated request is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WorkIdentity {
-    /// The request itself: route, path, object, who sends it, and body.
+    /// Hash of route, method, path, object, customer and body.
     pub request: WorkKey,
-    /// Its route and object; `request` where it is about none.
+    /// Hash of route and object; equal to `request` for a request without an object.
     pub object: WorkKey,
 }
 
-/// The parts of a request that are the same where it comes again.
+/// The parts of a request that identify a repetition of it.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkParts<'a> {
-    /// Name of its route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Object that it is about, where it names one.
+    /// Object key; `None` if the request names no object.
     pub object: Option<&'a [u8]>,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'a str,
-    /// Customer that sends it, where one is known.
+    /// Customer that sent the request, if known.
     pub customer: Option<&'a str>,
-    /// Its body; none where it is too large to be held. Such requests are told apart by the rest.
+    /// Request body; `None` if the body is too large to be buffered. Requests with such bodies are
+    /// distinguished by the other parts only.
     pub body: Option<&'a [u8]>,
 }
 
 impl WorkIdentity {
-    /// What a request with these parts is known by.
+    /// Computes the keys of a request.
     pub fn new(parts: &WorkParts<'_>) -> Self {
         let route = XxHash3_64::oneshot(parts.route.as_bytes());
         let bytes = [
@@ -54,7 +55,7 @@
         }
     }
 
-    /// All that an operator's key names: a request, or an object.
+    /// Wraps a key given by an operator, which may be that of a request or of an object.
     pub fn named(key: WorkKey) -> Self {
         WorkIdentity {
             request: key,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Its keys, each once.
+    /// The distinct keys: the request's, and the object's if there is one.
     pub fn keys(self) -> impl Iterator<Item = WorkKey> {
         let object = (self.object != self.request).then_some(self.object);
         [self.request].into_iter().chain(object)
--- a/crates/steering/tests/route_suspects_hosts.rs
+++ b/crates/steering/tests/route_suspects_hosts.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each upstream that runs it comes again and again, at hosts that tell each other.
+//! A request that crashes each upstream that runs it is repeated at hosts that exchange updates.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,40 +9,40 @@
 use steering::route::{Admission, Suspects, WorkIdentity, WorkParts, WorkTold};
 
 const HOSTS: usize = 9;
-const LASTS_MS: u64 = 60_000;
-const LASTS_LONG_MS: u64 = 20 * 60_000;
-/// Time without trouble after which a host counts as in touch.
-const CONTACT_MS: u64 = 4_000;
-/// Sends after the third crash, by hosts in touch, that the operators allow.
-const SENDS_MOST: usize = 3;
-/// Upstreams that may end in all while hosts restart or are cut off: two before the request is
-/// known, some that it is sent to meanwhile, and those of later trials.
-const CRASHES_MOST: usize = 8;
+const DURATION_MS: u64 = 60_000;
+const LONG_DURATION_MS: u64 = 20 * 60_000;
+/// Time after a disturbance until a host counts as connected again.
+const RECONNECT_MS: u64 = 4_000;
+/// Sends after the third crash, by connected hosts, that operators tolerate.
+const MAX_SENDS: usize = 3;
+/// Crashes tolerated in total while hosts restart or are cut off: two before the request is
+/// refused, a few sends in flight meanwhile, and later trials.
+const MAX_CRASHES: usize = 8;
 const CRASHES_AFTER_MS: u64 = 150;
 const ATTEMPTS: u32 = 2;
-const NEWS_MS: std::ops::Range<u64> = 1..80;
-const ASKED_EVERY_MS: u64 = 100;
-/// Time between two questions of a host to another for what it may have missed.
-const COMPARED_EVERY_MS: u64 = 1_000;
+const DELIVERY_MS: std::ops::Range<u64> = 1..80;
+const REQUEST_INTERVAL_MS: u64 = 100;
+/// Interval at which a host asks another for missed updates.
+const SYNC_INTERVAL_MS: u64 = 1_000;
 
-/// What goes wrong, and what else is asked for.
+/// Disturbances, and the other requests in the simulation.
 #[derive(Debug, Clone, Copy)]
-struct Day {
-    /// Hosts that start anew, one after the other, knowing nothing.
+struct Scenario {
+    /// Hosts restart one after the other and lose their state.
     restarts: bool,
-    /// Hosts that hear nobody for a while.
+    /// Hosts are cut off from all others for a while.
     cuts: bool,
-    /// Requests for other paths of the same object, each answered, for one that crashes.
+    /// Number of requests for other paths of the same object, all answered, per crashing request.
     others: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct InFlight {
     host: usize,
     work: WorkIdentity,
     crashes: bool,
     sent_ms: u64,
-    ends_ms: u64,
+    finishes_ms: u64,
     start: u64,
     attempt: u32,
 }
@@ -56,30 +56,30 @@
     at_ms: u64,
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
     epoch: Instant,
-    day: Day,
+    scenario: Scenario,
     hosts: Vec<Suspects>,
-    /// Until when each host hears nobody.
-    away_until_ms: [u64; HOSTS],
-    flights: Vec<Flight>,
+    /// Until when each host is cut off.
+    cut_off_until_ms: [u64; HOSTS],
+    in_flight: Vec<InFlight>,
     messages: Vec<Message>,
     crashes_ms: Vec<u64>,
-    /// Each send of the request that crashes, and whether its host was in touch.
+    /// Each send of the crashing request, and whether its host was connected.
     sends: Vec<(u64, bool)>,
     starts: u64,
 }
 
-impl World {
-    fn new(day: Day, seed: u64) -> World {
-        World {
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Simulation {
+        Simulation {
             rng: StdRng::seed_from_u64(seed),
             epoch: Instant::now() + Duration::from_secs(3_600),
-            day,
+            scenario,
             hosts: (0..HOSTS).map(|host| Suspects::new(&name(host))).collect(),
-            away_until_ms: [0; HOSTS],
-            flights: Vec::new(),
+            cut_off_until_ms: [0; HOSTS],
+            in_flight: Vec::new(),
             messages: Vec::new(),
             crashes_ms: Vec::new(),
             sends: Vec::new(),
@@ -91,38 +91,40 @@
         self.epoch + Duration::from_millis(ms)
     }
 
-    fn is_away(&self, host: usize, ms: u64) -> bool {
-        self.away_until_ms[host] > ms
+    fn is_cut_off(&self, host: usize, ms: u64) -> bool {
+        self.cut_off_until_ms[host] > ms
     }
 
-    fn is_in_touch(&self, host: usize, ms: u64) -> bool {
-        let until = self.away_until_ms[host];
-        until == 0 || until + CONTACT_MS <= ms
+    fn is_connected(&self, host: usize, ms: u64) -> bool {
+        let until = self.cut_off_until_ms[host];
+        until == 0 || until + RECONNECT_MS <= ms
     }
 
-    fn trouble(&mut self, ms: u64) {
+    fn disturb(&mut self, ms: u64) {
         if ms % 2_000 != 1_999 {
             return;
         }
         let host = (ms / 2_000) as usize % HOSTS;
-        if self.day.restarts {
+        if self.scenario.restarts {
             self.hosts[host] = Suspects::new(&name(host));
-            self.away_until_ms[host] = ms + 1;
-            // One that starts asks until it has an answer.
+            self.cut_off_until_ms[host] = ms + 1;
+            // A starting host asks others until one answers.
             let others = (1..HOSTS).map(|step| (host + step) % HOSTS);
-            let heard = others.into_iter().find(|other| !self.is_away(*other, ms));
-            if let Some(other) = heard {
-                self.compare(host, other, ms);
+            let reachable = others
+                .into_iter()
+                .find(|other| !self.is_cut_off(*other, ms));
+            if let Some(other) = reachable {
+                self.sync(host, other, ms);
             }
         }
-        if self.day.cuts {
-            self.away_until_ms[host] = ms + self.rng.random_range(500..6_000);
+        if self.scenario.cuts {
+            self.cut_off_until_ms[host] = ms + self.rng.random_range(500..6_000);
         }
     }
 
-    /// A host asks another one, where it can, for what it may have missed.
-    fn compare(&mut self, host: usize, other: usize, ms: u64) {
-        if other == host || self.is_away(other, ms) {
+    /// A host asks another one, if it can reach it, for missed updates.
+    fn sync(&mut self, host: usize, other: usize, ms: u64) {
+        if other == host || self.is_cut_off(other, ms) {
             return;
         }
         let now = self.at(ms);
@@ -130,7 +132,7 @@
         if self.hosts[host].digest(now) == self.hosts[other].digest(now) {
             return;
         }
-        let later_ms = ms + self.rng.random_range(NEWS_MS);
+        let later_ms = ms + self.rng.random_range(DELIVERY_MS);
         let later = self.at(later_ms);
         for state in self.hosts[other].states(now) {
             self.hosts[host].merge(later, &state);
@@ -139,7 +141,7 @@
 
     fn request(&mut self, ms: u64) {
         let host = self.rng.random_range(0..HOSTS);
-        let crashes = self.rng.random_range(0..=self.day.others) == 0;
+        let crashes = self.rng.random_range(0..=self.scenario.others) == 0;
         let path = match crashes {
             true => "/a/13/crashes".to_owned(),
             false => format!("/a/13/{ms}"),
@@ -155,7 +157,7 @@
         let now = self.at(ms);
         match self.hosts[host].admit(now, work) {
             Admission::Refused(_) => return,
-            Admission::Trial => self.tell(host, ms, work, WorkTold::Tried),
+            Admission::Trial => self.broadcast(host, ms, work, WorkTold::Tried),
             Admission::Free => {}
         }
         self.send(host, ms, work, crashes, 1);
@@ -163,53 +165,54 @@
 
     fn send(&mut self, host: usize, ms: u64, work: WorkIdentity, crashes: bool, attempt: u32) {
         self.starts += 1;
-        self.flights.push(Flight {
+        self.in_flight.push(InFlight {
             host,
             work,
             crashes,
             sent_ms: ms,
-            ends_ms: ms + CRASHES_AFTER_MS,
+            finishes_ms: ms + CRASHES_AFTER_MS,
             start: self.starts,
             attempt,
         });
         if crashes {
-            self.sends.push((ms, self.is_in_touch(host, ms)));
+            self.sends.push((ms, self.is_connected(host, ms)));
         }
     }
 
-    fn end_flights(&mut self, ms: u64) {
-        let flights = std::mem::take(&mut self.flights);
-        let (ended, left): (Vec<Flight>, Vec<Flight>) =
-            flights.into_iter().partition(|flight| flight.ends_ms <= ms);
-        self.flights = left;
-        for flight in ended {
-            let sent_ms = (ms - flight.sent_ms) as u32;
-            let told = match flight.crashes {
+    fn finish_requests(&mut self, ms: u64) {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (finished, left): (Vec<InFlight>, Vec<InFlight>) = in_flight
+            .into_iter()
+            .partition(|request| request.finishes_ms <= ms);
+        self.in_flight = left;
+        for request in finished {
+            let sent_ms = (ms - request.sent_ms) as u32;
+            let told = match request.crashes {
                 true => WorkTold::Ended {
-                    start: flight.start,
+                    start: request.start,
                     sent_ms,
                     ended_ms: 0,
                 },
                 false => WorkTold::Answered { sent_ms },
             };
             let now = self.at(ms);
-            if self.hosts[flight.host].take(now, flight.work, told) {
-                self.tell(flight.host, ms, flight.work, told);
+            if self.hosts[request.host].take(now, request.work, told) {
+                self.broadcast(request.host, ms, request.work, told);
             }
-            if flight.crashes {
+            if request.crashes {
                 self.crashes_ms.push(ms);
-                let may_be_repeated = self.hosts[flight.host].may_be_repeated(flight.work);
-                if flight.attempt < ATTEMPTS && may_be_repeated {
-                    self.send(flight.host, ms, flight.work, true, flight.attempt + 1);
+                let may_be_repeated = self.hosts[request.host].may_be_repeated(request.work);
+                if request.attempt < ATTEMPTS && may_be_repeated {
+                    self.send(request.host, ms, request.work, true, request.attempt + 1);
                 }
             }
         }
     }
 
-    fn tell(&mut self, from: usize, ms: u64, work: WorkIdentity, told: WorkTold) {
+    fn broadcast(&mut self, from: usize, ms: u64, work: WorkIdentity, told: WorkTold) {
         for to in (0..HOSTS).filter(|to| *to != from) {
-            let at_ms = ms + self.rng.random_range(NEWS_MS);
-            if !self.is_away(from, ms) {
+            let at_ms = ms + self.rng.random_range(DELIVERY_MS);
+            if !self.is_cut_off(from, ms) {
                 self.messages.push(Message {
                     to,
                     work,
@@ -223,12 +226,12 @@
 
     fn deliver(&mut self, ms: u64) {
         let messages = std::mem::take(&mut self.messages);
-        let (come, left): (Vec<Message>, Vec<Message>) = messages
+        let (arrived, left): (Vec<Message>, Vec<Message>) = messages
             .into_iter()
             .partition(|message| message.at_ms <= ms);
         self.messages = left;
-        for message in come {
-            if self.is_away(message.to, ms) {
+        for message in arrived {
+            if self.is_cut_off(message.to, ms) {
                 continue;
             }
             let told = message
@@ -239,30 +242,31 @@
         }
     }
 
-    /// Plays to the end; sends by hosts in touch after the third crash and the time to hear of it.
-    fn play(&mut self, lasts_ms: u64) -> usize {
-        for ms in 0..lasts_ms {
-            self.trouble(ms);
+    /// Runs the simulation and returns the number of sends by connected hosts after the third
+    /// crash and the time for its update to arrive.
+    fn run(&mut self, duration_ms: u64) -> usize {
+        for ms in 0..duration_ms {
+            self.disturb(ms);
             self.deliver(ms);
-            self.end_flights(ms);
+            self.finish_requests(ms);
             for host in 0..HOSTS {
-                let turn = host as u64 * COMPARED_EVERY_MS / HOSTS as u64;
-                if ms % COMPARED_EVERY_MS == turn && !self.is_away(host, ms) {
+                let offset_ms = host as u64 * SYNC_INTERVAL_MS / HOSTS as u64;
+                if ms % SYNC_INTERVAL_MS == offset_ms && !self.is_cut_off(host, ms) {
                     let other = self.rng.random_range(0..HOSTS);
-                    self.compare(host, other, ms);
+                    self.sync(host, other, ms);
                 }
             }
-            if ms % ASKED_EVERY_MS == 0 {
+            if ms % REQUEST_INTERVAL_MS == 0 {
                 self.request(ms);
             }
         }
         let Some(third) = self.crashes_ms.get(2) else {
             return 0;
         };
-        let from_ms = third + CONTACT_MS;
+        let from_ms = third + RECONNECT_MS;
         let counted = self.sends.iter();
         counted
-            .filter(|(ms, in_touch)| *ms > from_ms && *in_touch)
+            .filter(|(ms, connected)| *ms > from_ms && *connected)
             .count()
     }
 }
@@ -272,52 +276,52 @@
 }
 
 #[rstest]
-#[case::calm(Day { restarts: false, cuts: false, others: 0 })]
-#[case::hosts_restart(Day { restarts: true, cuts: false, others: 0 })]
-#[case::hosts_are_cut_off(Day { restarts: false, cuts: true, others: 0 })]
-#[case::others_are_answered(Day { restarts: false, cuts: false, others: 3 })]
-#[case::all(Day { restarts: true, cuts: true, others: 3 })]
-fn a_crashing_request_is_not_sent_on_by_hosts_in_touch(#[case] day: Day) {
-    let mut broken = BTreeMap::new();
+#[case::calm(Scenario { restarts: false, cuts: false, others: 0 })]
+#[case::hosts_restart(Scenario { restarts: true, cuts: false, others: 0 })]
+#[case::hosts_are_cut_off(Scenario { restarts: false, cuts: true, others: 0 })]
+#[case::others_are_answered(Scenario { restarts: false, cuts: false, others: 3 })]
+#[case::all(Scenario { restarts: true, cuts: true, others: 3 })]
+fn a_crashing_request_is_not_sent_again_by_connected_hosts(#[case] scenario: Scenario) {
+    let mut failures = BTreeMap::new();
     for seed in 1..=20 {
-        let sends = World::new(day, seed).play(LASTS_MS);
-        if sends > SENDS_MOST {
-            broken.insert(seed, sends);
+        let sends = Simulation::new(scenario, seed).run(DURATION_MS);
+        if sends > MAX_SENDS {
+            failures.insert(seed, sends);
         }
     }
-    assert!(broken.is_empty(), "sends by seed: {broken:?}");
+    assert!(failures.is_empty(), "sends by seed: {failures:?}");
 }
 
 #[rstest]
-#[case::hosts_restart(Day { restarts: true, cuts: false, others: 0 })]
-#[case::hosts_are_cut_off(Day { restarts: false, cuts: true, others: 0 })]
-#[case::others_are_answered(Day { restarts: false, cuts: false, others: 3 })]
-fn a_crashing_request_ends_few_upstreams(#[case] day: Day) {
-    let mut broken = BTreeMap::new();
+#[case::hosts_restart(Scenario { restarts: true, cuts: false, others: 0 })]
+#[case::hosts_are_cut_off(Scenario { restarts: false, cuts: true, others: 0 })]
+#[case::others_are_answered(Scenario { restarts: false, cuts: false, others: 3 })]
+fn a_crashing_request_crashes_few_upstreams(#[case] scenario: Scenario) {
+    let mut failures = BTreeMap::new();
     for seed in 1..=20 {
-        let mut world = World::new(day, seed);
-        world.play(LASTS_MS);
-        if world.crashes_ms.len() > CRASHES_MOST {
-            broken.insert(seed, world.crashes_ms.len());
+        let mut simulation = Simulation::new(scenario, seed);
+        simulation.run(DURATION_MS);
+        if simulation.crashes_ms.len() > MAX_CRASHES {
+            failures.insert(seed, simulation.crashes_ms.len());
         }
     }
-    assert!(broken.is_empty(), "crashes by seed: {broken:?}");
+    assert!(failures.is_empty(), "crashes by seed: {failures:?}");
 }
 
 #[test]
-fn a_crashing_request_that_comes_for_long_is_not_sent_again_and_again() {
-    let day = Day {
+fn a_crashing_request_repeated_for_long_is_rarely_sent() {
+    let scenario = Scenario {
         restarts: true,
         cuts: false,
         others: 0,
     };
     for seed in 1..=3 {
-        let mut world = World::new(day, seed);
-        let sends = world.play(LASTS_LONG_MS);
+        let mut simulation = Simulation::new(scenario, seed);
+        let sends = simulation.run(LONG_DURATION_MS);
         assert!(
-            sends <= SENDS_MOST,
+            sends <= MAX_SENDS,
             "seed {seed}: {sends} sends {:?}",
-            world.sends
+            simulation.sends
         );
     }
 }
--- a/crates/steering/tests/route_suspects_innocent.rs
+++ b/crates/steering/tests/route_suspects_innocent.rs
@@ -1,4 +1,4 @@
-//! Upstreams that end by themselves: how long work that has not ended them is refused.
+//! Upstreams crash for reasons of their own; checks how long innocent work is refused.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -10,22 +10,22 @@
 
 const UPSTREAMS: usize = 24;
 const OBJECTS: u64 = 40;
-const LASTS_MS: u64 = 60_000;
+const DURATION_MS: u64 = 60_000;
 const ARRIVALS_PER_MS: f64 = 0.35;
-const MEAN_WORK_MS: u64 = 480;
-/// Longest time for which other work may be refused: it waits out one refusal and three
-/// requests that find out, each some time after the other.
-const REFUSED_MOST: Duration = Duration::from_secs(12);
+const MEAN_SERVICE_MS: u64 = 480;
+/// Upper bound of the time that innocent work may be refused: one refusal period and three trials,
+/// with an interval between them.
+const MAX_REFUSED: Duration = Duration::from_secs(12);
 
-/// How upstreams end: at once, so many each time, so far apart.
+/// How upstreams crash: `count` at the same time, every `every_ms`, each down for `down_ms`.
 #[derive(Debug, Clone, Copy)]
-struct Ends {
+struct CrashPattern {
     count: usize,
     every_ms: u64,
     down_ms: u64,
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug, Clone, Copy)]
 struct Sent {
     work: WorkKey,
@@ -33,25 +33,25 @@
     done_ms: u64,
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
     epoch: Instant,
     suspects: Suspects,
-    under_way: Vec<Vec<Sent>>,
-    /// Number of each upstream's start, and when it is back.
+    in_flight: Vec<Vec<Sent>>,
+    /// For each upstream the number of its start, and when it is up again.
     starts: Vec<(u64, u64)>,
-    /// Since when work is refused.
+    /// Since when each refused work has been refused.
     refused_since: HashMap<WorkKey, u64>,
     longest_ms: BTreeMap<WorkKey, u64>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
             rng: StdRng::seed_from_u64(seed),
             epoch: Instant::now() + Duration::from_secs(3_600),
             suspects: Suspects::new("h1"),
-            under_way: vec![Vec::new(); UPSTREAMS],
+            in_flight: vec![Vec::new(); UPSTREAMS],
             starts: vec![(0, 0); UPSTREAMS],
             refused_since: HashMap::new(),
             longest_ms: BTreeMap::new(),
@@ -62,7 +62,7 @@
         self.epoch + Duration::from_millis(ms)
     }
 
-    /// Objects are asked for by rank: the first by far the most often.
+    /// Draws an object; lower numbers are much more frequent.
     fn draw(&mut self) -> WorkKey {
         let by_rank = self.rng.random_range(0.0f64..1.0).powi(3);
         (by_rank * OBJECTS as f64) as WorkKey
@@ -79,11 +79,13 @@
         }
         let live: Vec<usize> = (0..UPSTREAMS).filter(|u| self.starts[*u].1 <= ms).collect();
         let upstream = live[self.rng.random_range(0..live.len())];
-        let takes = self.rng.random_range(MEAN_WORK_MS / 2..MEAN_WORK_MS * 2);
-        self.under_way[upstream].push(Sent {
+        let service_ms = self
+            .rng
+            .random_range(MEAN_SERVICE_MS / 2..MEAN_SERVICE_MS * 2);
+        self.in_flight[upstream].push(Sent {
             work,
             at_ms: ms,
-            done_ms: ms + takes,
+            done_ms: ms + service_ms,
         });
     }
 
@@ -96,10 +98,10 @@
 
     fn answer(&mut self, ms: u64) {
         for upstream in 0..UPSTREAMS {
-            let sent = std::mem::take(&mut self.under_way[upstream]);
+            let sent = std::mem::take(&mut self.in_flight[upstream]);
             let (done, left): (Vec<Sent>, Vec<Sent>) =
                 sent.into_iter().partition(|s| s.done_ms <= ms);
-            self.under_way[upstream] = left;
+            self.in_flight[upstream] = left;
             for sent in done {
                 let told = WorkTold::Answered {
                     sent_ms: (ms - sent.at_ms) as u32,
@@ -110,13 +112,13 @@
         }
     }
 
-    fn end(&mut self, ms: u64, ends: Ends) {
-        for _ in 0..ends.count {
+    fn crash(&mut self, ms: u64, pattern: CrashPattern) {
+        for _ in 0..pattern.count {
             let upstream = self.rng.random_range(0..UPSTREAMS);
             let (number, _) = self.starts[upstream];
-            self.starts[upstream] = (number + 1, ms + ends.down_ms);
+            self.starts[upstream] = (number + 1, ms + pattern.down_ms);
             let start = number * UPSTREAMS as u64 + upstream as u64;
-            for sent in std::mem::take(&mut self.under_way[upstream]) {
+            for sent in std::mem::take(&mut self.in_flight[upstream]) {
                 let told = WorkTold::Ended {
                     start,
                     sent_ms: (ms - sent.at_ms) as u32,
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Plays to the end; the longest time for which any work was refused.
-    fn play(&mut self, ends: Ends) -> Duration {
-        for ms in 0..LASTS_MS {
+    /// Runs the simulation and returns the longest time for which any work was refused.
+    fn run(&mut self, pattern: CrashPattern) -> Duration {
+        for ms in 0..DURATION_MS {
             self.answer(ms);
-            if ms % ends.every_ms == ends.every_ms - 1 && ms < LASTS_MS / 2 {
-                self.end(ms, ends);
+            if ms % pattern.every_ms == pattern.every_ms - 1 && ms < DURATION_MS / 2 {
+                self.crash(ms, pattern);
             }
             if self.rng.random_bool(ARRIVALS_PER_MS) {
                 let work = self.draw();
@@ -142,7 +144,7 @@
         }
         let refused: Vec<WorkKey> = self.refused_since.keys().copied().collect();
         for work in refused {
-            self.end_refusal(LASTS_MS, work);
+            self.end_refusal(DURATION_MS, work);
         }
         let longest = self.longest_ms.values().max().copied();
         Duration::from_millis(longest.unwrap_or_default())
@@ -150,13 +152,13 @@
 }
 
 #[rstest]
-#[case::now_and_then(Ends { count: 1, every_ms: 5_000, down_ms: 4_000 })]
-#[case::one_after_the_other(Ends { count: 1, every_ms: 1_000, down_ms: 2_000 })]
-#[case::in_quick_series(Ends { count: 1, every_ms: 300, down_ms: 1_000 })]
-#[case::several_at_once(Ends { count: 6, every_ms: 3_000, down_ms: 2_500 })]
-fn other_work_is_refused_for_seconds_at_most(#[case] ends: Ends) {
+#[case::now_and_then(CrashPattern { count: 1, every_ms: 5_000, down_ms: 4_000 })]
+#[case::one_after_the_other(CrashPattern { count: 1, every_ms: 1_000, down_ms: 2_000 })]
+#[case::in_quick_series(CrashPattern { count: 1, every_ms: 300, down_ms: 1_000 })]
+#[case::several_at_once(CrashPattern { count: 6, every_ms: 3_000, down_ms: 2_500 })]
+fn other_work_is_refused_for_seconds_at_most(#[case] pattern: CrashPattern) {
     for seed in 1..=6 {
-        let longest = World::new(seed).play(ends);
-        assert!(longest <= REFUSED_MOST, "seed {seed}: {longest:?}");
+        let longest = Simulation::new(seed).run(pattern);
+        assert!(longest <= MAX_REFUSED, "seed {seed}: {longest:?}");
     }
 }
--- a/crates/steering/tests/route_suspects_merge.rs
+++ b/crates/steering/tests/route_suspects_merge.rs
@@ -1,4 +1,4 @@
-//! Hosts that have learned different things agree once they have told each other what they know.
+//! Hosts that learned different things agree after they have exchanged their states.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 const HOSTS: usize = 3;
 
-/// Something that one host alone learns.
+/// An event that only one host learns of.
 #[derive(Debug, Clone)]
 struct Step {
     host: usize,
@@ -40,8 +40,9 @@
     })
 }
 
-/// Lets each host learn what befell it, then all tell each other.
-fn play(steps: Vec<Step>) -> Vec<u64> {
+/// Applies each event at its host, then lets all hosts exchange their states; returns their
+/// digests.
+fn digests_after_exchange(steps: Vec<Step>) -> Vec<u64> {
     let new = |number| Suspects::new(&format!("h{number}"));
     let mut hosts: Vec<Suspects> = (0..HOSTS).map(new).collect();
     let mut now = Instant::now() + Duration::from_secs(36_000);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn hosts_agree_whatever_each_has_learned() {
+fn hosts_agree_after_exchanging_states() {
     let config = ProptestConfig {
         cases: 512,
         failure_persistence: None,
@@ -74,7 +75,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec(step(), 0..60);
     let agrees = |steps| {
-        let digests = play(steps);
+        let digests = digests_after_exchange(steps);
         prop_assert!(digests.iter().all(|digest| *digest == digests[0]));
         Ok(())
     };
--- a/crates/steering/tests/route_work_identity.rs
+++ b/crates/steering/tests/route_work_identity.rs
@@ -1,4 +1,4 @@
-//! What requests that come again are known by.
+//! The keys by which repeated requests are recognised.
 
 use rstest::rstest;
 use steering::route::{WorkIdentity, WorkParts};
@@ -19,7 +19,7 @@
 #[case::no_customer(WorkParts { customer: None, ..PARTS })]
 #[case::body(WorkParts { body: Some(b"other"), ..PARTS })]
 #[case::large_body(WorkParts { body: None, ..PARTS })]
-fn requests_that_differ_are_told_apart_and_have_the_same_object(#[case] other: WorkParts<'_>) {
+fn different_requests_have_different_keys_and_the_same_object_key(#[case] other: WorkParts<'_>) {
     let work = WorkIdentity::new(&PARTS);
     let other = WorkIdentity::new(&other);
     assert_eq!(work, WorkIdentity::new(&PARTS));
@@ -30,14 +30,14 @@
 #[rstest]
 #[case::route(WorkParts { route: "r2", ..PARTS })]
 #[case::object(WorkParts { object: Some(b"18"), ..PARTS })]
-fn objects_are_told_apart_by_their_route(#[case] other: WorkParts<'_>) {
+fn object_keys_depend_on_the_route(#[case] other: WorkParts<'_>) {
     let (work, other) = (WorkIdentity::new(&PARTS), WorkIdentity::new(&other));
     assert_ne!(work.object, other.object);
     assert_ne!(work.request, other.request);
 }
 
 #[test]
-fn a_request_about_no_object_is_known_by_itself_alone() {
+fn a_request_without_an_object_has_one_key() {
     let parts = WorkParts {
         object: None,
         ..PARTS
