--- a/crates/caller/src/admission.rs
+++ b/crates/caller/src/admission.rs
@@ -12,8 +12,8 @@
 use steering::error::ErrorKind;
 use steering::plan::PoolKey;
 use steering::pool::{
-    Decision, Grant, LoadReport, MemberStatus, Offer, Outcome, Pool, PoolLimits, PoolLoad, Step,
-    WaitId,
+    Decision, Grant, LoadReport, MemberStatus, Outcome, Pool, PoolLimits, PoolLoad, PoolRequest,
+    QueueStep, WaitId,
 };
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -29,12 +29,12 @@
 }
 
 impl Owned {
-    fn tell(&mut self, steps: Vec<Step>) -> Vec<Grant> {
+    fn tell(&mut self, steps: Vec<QueueStep>) -> Vec<Grant> {
         let mut unclaimed = Vec::new();
         for step in steps {
             let (wait, answer) = match step {
-                Step::Granted(grant) => (grant.wait, Ok(grant)),
-                Step::Refused(wait, kind) => (wait, Err(kind)),
+                QueueStep::Granted(grant) => (grant.wait, Ok(grant)),
+                QueueStep::Refused(wait, kind) => (wait, Err(kind)),
             };
             let Some(waiter) = self.waiting.remove(&wait) else {
                 unclaimed.extend(answer.ok());
@@ -48,7 +48,7 @@
     }
 
     /// Tells waiters of steps; a grant that nobody waits for any more goes on.
-    fn settle(&mut self, now: Instant, steps: Vec<Step>) {
+    fn settle(&mut self, now: Instant, steps: Vec<QueueStep>) {
         let mut unclaimed = self.tell(steps);
         while let Some(grant) = unclaimed.pop() {
             let steps = self
@@ -154,7 +154,7 @@
     }
 
     /// Waits for leave to send a request.
-    pub async fn admit(&self, key: &str, offer: Offer) -> Result<Permit, ErrorKind> {
+    pub async fn admit(&self, key: &str, offer: PoolRequest) -> Result<Permit, ErrorKind> {
         let handle = self.handle(key).ok_or(ErrorKind::NoUpstream)?;
         let (wait, answer) = {
             let owned = &mut *lock(&handle.owned);
--- a/crates/caller/src/local.rs
+++ b/crates/caller/src/local.rs
@@ -9,8 +9,8 @@
 use hyper::{Request, Response, Uri, header};
 use steering::error::ErrorKind;
 use steering::limiter::LimitKey;
-use steering::pool::{Offer, Outcome, PoolLimits};
-use steering::statement::RestAsked;
+use steering::pool::{Outcome, PoolLimits, PoolRequest};
+use steering::statement::RequestedRest;
 use upstream::{
     Body, DEADLINE_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, Reuse, SendError, TrackedBody,
     WorkBody, end_to_end, rest_asked,
@@ -94,7 +94,7 @@
     }
     ensure_pool(shared, head, admission.pool)?;
     let mut limits = take_limits(shared, admission.limits)?;
-    let offer = Offer {
+    let offer = PoolRequest {
         deadline: head.deadline,
         priority: admission.priority,
         hedge: admission.hedge,
@@ -188,7 +188,7 @@
                 let rest_ms = rest.granted().as_millis() as u64;
                 tracing::info!(event = "upstream_rests", upstream = upstream.name, rest_ms);
             }
-            permit.outcome(match rest.map(RestAsked::granted) {
+            permit.outcome(match rest.map(RequestedRest::granted) {
                 Some(rest) => Outcome::Rests(rest),
                 None => Outcome::Shed,
             });
--- a/crates/caller/src/steer.rs
+++ b/crates/caller/src/steer.rs
@@ -7,7 +7,7 @@
 
 use futures::future::{Either, select};
 use hyper::{Request, Response, header};
-use steering::choice::choose_places;
+use steering::choice::rank_zones;
 use steering::error::{ErrorKind, NotRun};
 use steering::limiter::LimitKey;
 use steering::membership::HostEntry;
@@ -150,7 +150,7 @@
     let views: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
     let from = view.plan.region(&view.me.zone);
     let mut rng = rand::rng();
-    choose_places(&views, &mut rng)
+    rank_zones(&views, &mut rng)
         .into_iter()
         .filter_map(|number| {
             let target = &targets[number];
--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use steering::ids::CustomerName;
-use steering::route::{Customer, GROUPS, Take, TokenGroup, TokenLeases, group_of};
+use steering::route::{Customer, GROUPS, TakeResult, TokenGroup, TokenLeases, group_of};
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
@@ -50,7 +50,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.settled {
-            self.allowances.leases().give_up(self.customer);
+            self.allowances.leases().cancel_wait(self.customer);
         }
     }
 }
@@ -111,9 +111,9 @@
             signals.wanted.notify_one();
         }
         match taken {
-            Take::Taken => Ok(()),
-            Take::Dry(time) => Err(Beyond::Used(time)),
-            Take::Wait => self.wait(name, signals, now + WAIT_MOST).await,
+            TakeResult::Taken => Ok(()),
+            TakeResult::Exhausted(time) => Err(Beyond::Used(time)),
+            TakeResult::Wait => self.wait(name, signals, now + WAIT_MOST).await,
         }
     }
 
@@ -125,12 +125,12 @@
         };
         loop {
             let answered = signals.answered.notified();
-            let taken = self.leases().again(clock::now(), customer);
-            waiting.settled = taken != Take::Wait;
+            let taken = self.leases().retry(clock::now(), customer);
+            waiting.settled = taken != TakeResult::Wait;
             match taken {
-                Take::Taken => return Ok(()),
-                Take::Dry(time) => return Err(Beyond::Used(time)),
-                Take::Wait => signals.waited_for.notify_one(),
+                TakeResult::Taken => return Ok(()),
+                TakeResult::Exhausted(time) => return Err(Beyond::Used(time)),
+                TakeResult::Wait => signals.waited_for.notify_one(),
             }
             if timeout(clock::left(end), answered).await.is_err() {
                 return Err(Beyond::Unheard(UNHEARD_WAIT));
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use steering::membership::HostEntry;
-use steering::route::{HostMessage, HostReply, LimitAsk, LimitReply, LimitTerms, holders};
+use steering::route::{
+    HostMessage, HostReply, LimitReply, LimitTokenRequest, LimitTolerance, holders,
+};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 
@@ -33,7 +35,7 @@
     }
 
     /// Asks the holders of a limit one after the other.
-    async fn token(&self, ask: &LimitAsk) -> Result<(), Dry> {
+    async fn token(&self, ask: &LimitTokenRequest) -> Result<(), Dry> {
         let start = ask.start();
         let end = clock::now() + WAIT_MOST;
         loop {
@@ -67,7 +69,7 @@
     async fn ask_holder(
         &self,
         host: &HostEntry,
-        ask: &LimitAsk,
+        ask: &LimitTokenRequest,
         within: Duration,
     ) -> Option<LimitReply> {
         let message = HostMessage::Limit(ask.clone());
@@ -82,27 +84,27 @@
     }
 
     /// Answers another host's question.
-    pub(super) fn answer_limit(&self, from: &str, ask: &LimitAsk) -> LimitReply {
+    pub(super) fn answer_limit(&self, from: &str, ask: &LimitTokenRequest) -> LimitReply {
         let holders = self.holders(ask);
         match holders.iter().any(|host| host.name == self.me.name) {
             true => self.give_token(from, ask, holders.len()),
-            false => LimitReply::NoPart,
+            false => LimitReply::NotAHolder,
         }
     }
 
-    fn give_token(&self, asker: &str, ask: &LimitAsk, holders: usize) -> LimitReply {
-        let terms = LimitTerms::default();
+    fn give_token(&self, asker: &str, ask: &LimitTokenRequest, holders: usize) -> LimitReply {
+        let terms = LimitTolerance::default();
         let mut tokens = self.limit_tokens.borrow_mut();
         let (reply, change) = tokens.take(clock::now(), asker, ask, holders, &terms);
         if let Some(change) = change {
             tracing::info!(
                 event = "limit_part",
                 upstream = ask.upstream,
-                born_ms = ask.born_ms,
+                born_ms = ask.started_ms,
                 per_s = change.per_s,
                 holders = change.holders,
-                part_per_s = change.part.per_s,
-                depth = change.part.depth
+                part_per_s = change.share.per_s,
+                depth = change.share.depth
             );
         }
         reply
@@ -111,7 +113,7 @@
     /// Hosts that hold parts of the limit of a start of an upstream: some of its region, or of
     /// all where it has none. Only hosts of the store's list hold any: one that others don't
     /// know would add to the sum.
-    fn holders(&self, ask: &LimitAsk) -> Vec<HostEntry> {
+    fn holders(&self, ask: &LimitTokenRequest) -> Vec<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let rows = beliefs.roll.list().rows();
         let regions = &self.common.settings.regions;
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -26,7 +26,7 @@
 use peer::{Local, PeerClient};
 use steering::ids::{HostName, Incarnation};
 use steering::membership::HostEntry;
-use steering::route::{Feed, LimitAsks, LimitTokens, TokenPool};
+use steering::route::{Feed, HolderSelector, LimitTokens, TokenPool};
 use store::Records;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
@@ -74,7 +74,7 @@
     /// Parts that this host holds of limits that upstreams name.
     limit_tokens: RefCell<LimitTokens>,
     /// Holders of such parts that this host asks.
-    limit_asks: RefCell<LimitAsks>,
+    limit_asks: RefCell<HolderSelector>,
     /// Heartbeats sent so far.
     beats: Cell<u64>,
 }
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -7,8 +7,8 @@
 use steering::ids::CustomerName;
 use steering::membership::HostEntry;
 use steering::route::{
-    CustomerTable, GROUPS, HostMessage, HostReply, KEEP_ALIVE, Step, TokenAsk, TokenBound,
-    TokenGroup, TokenReply, group_of,
+    CustomerTable, GROUPS, HostMessage, HostReply, KEEP_ALIVE, LeaseStep, TokenBound, TokenGroup,
+    TokenReply, TokenRequest, group_of,
 };
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -76,7 +76,7 @@
         };
         let message = HostMessage::Spare(waiting);
         let reply = self.ask_host(&near, &message, NEAR_LIMIT).await;
-        let (Ok(HostReply::Tokens(TokenReply::Spared(spared))), HostMessage::Spare(waiting)) =
+        let (Ok(HostReply::Tokens(TokenReply::ZoneLoans(spared))), HostMessage::Spare(waiting)) =
             (reply, message)
         else {
             self.silent_near.borrow_mut().insert(near.name, now);
@@ -85,7 +85,7 @@
         let mut leases = self.common.allowances.leases();
         let mut all = true;
         for ((customer, _), spared) in waiting.iter().zip(&spared) {
-            all &= leases.take_spared(clock::now(), now, customer, spared);
+            all &= leases.accept_zone_loan(clock::now(), now, customer, spared);
         }
         drop(leases);
         self.common.allowances.answered(group);
@@ -109,13 +109,13 @@
         let now = clock::now();
         let mut leases = self.common.allowances.leases();
         let mut spare = |(customer, need): &(CustomerName, u32)| {
-            let spared = leases.spare(now, customer, *need);
+            let spared = leases.lend_to_zone(now, customer, *need);
             if leases.runs_low(now, customer) {
                 self.common.allowances.want(group_of(customer));
             }
             spared
         };
-        TokenReply::Spared(wanted.iter().map(&mut spare).collect())
+        TokenReply::ZoneLoans(wanted.iter().map(&mut spare).collect())
     }
 
     /// Forgets tokens of customers that are no more.
@@ -138,15 +138,15 @@
         let spares = near.is_some_and(|near| near.name == self.me.name);
         let step = {
             let mut leases = self.common.allowances.leases();
-            leases.set_spares(group, spares);
+            leases.set_zone_lender(group, spares);
             leases.step(now, group, &ranked)
         };
         let (name, ask) = match step {
-            Step::Rest(until) => {
+            LeaseStep::WaitUntil(until) => {
                 let rest = until.saturating_duration_since(now);
                 return rest.clamp(GATHERED_FOR, KEEP_ALIVE);
             }
-            Step::Ask(name, ask) => (name, ask),
+            LeaseStep::SendRequest(name, ask) => (name, ask),
         };
         let reply = match candidates.iter().find(|host| host.name == name) {
             Some(host) if host.name == self.me.name => Ok(self.lend(&self.me.name, &ask)),
@@ -197,7 +197,7 @@
     }
 
     /// Lends tokens to a host, this one among them.
-    pub(super) fn lend(&self, from: &str, ask: &TokenAsk) -> TokenReply {
+    pub(super) fn lend(&self, from: &str, ask: &TokenRequest) -> TokenReply {
         let view = self.common.view.load();
         let terms = self.common.bounds().allowances;
         let bound = |customer: &str| {
@@ -207,7 +207,7 @@
         let now = clock::now();
         let counts = from == self.me.name || self.beliefs.borrow().roll.counts(now, from);
         let mut pool = self.pool.borrow_mut();
-        pool.ask(now, from, counts, ask, view.sharers, &bound)
+        pool.handle_request(now, from, counts, ask, view.sharers, &bound)
     }
 
     /// Hosts that may keep a group's pool: some of all, then the first of the own region and
--- a/crates/gateway/src/control/works.rs
+++ b/crates/gateway/src/control/works.rs
@@ -6,7 +6,7 @@
 use futures::future::select_ok;
 use steering::ids::HostName;
 use steering::membership::HostEntry;
-use steering::route::{Feed, HostMessage, HostReply, WorkNews};
+use steering::route::{Feed, HostMessage, HostReply, WorkUpdate};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -34,13 +34,13 @@
             while let Ok(next) = fresh.try_recv() {
                 gathered.push(next);
             }
-            let now = |fresh: &FreshNews| WorkNews {
-                told: fresh.news.told.later(clock::elapsed(fresh.learned)),
+            let now = |fresh: &FreshNews| WorkUpdate {
+                event: fresh.news.event.aged_by(clock::elapsed(fresh.learned)),
                 ..fresh.news
             };
             self.send_works(gathered.iter().map(now).collect(), self.group());
             let for_all = gathered.iter().filter(|fresh| fresh.for_all);
-            let for_all: Vec<WorkNews> = for_all.map(now).collect();
+            let for_all: Vec<WorkUpdate> = for_all.map(now).collect();
             if !for_all.is_empty() {
                 self.send_works(for_all, self.firsts(Feed::Upstreams));
             }
@@ -99,7 +99,7 @@
     }
 
     /// Takes what another host tells, and passes on to the group what comes from outside.
-    pub(super) fn hear_works(self: &Rc<Self>, from: &HostName, news: Vec<WorkNews>) {
+    pub(super) fn hear_works(self: &Rc<Self>, from: &HostName, news: Vec<WorkUpdate>) {
         self.common.suspects.hear(&news, from);
         let group = self.group();
         if group.iter().all(|host| host.name != *from) {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn send_works(self: &Rc<Self>, news: Vec<WorkNews>, audience: Vec<HostEntry>) {
+    fn send_works(self: &Rc<Self>, news: Vec<WorkUpdate>, audience: Vec<HostEntry>) {
         let message = Rc::new(HostMessage::Works(news));
         let begun = clock::now();
         for host in audience {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use steering::route::{Choice, LimitAsk};
-use steering::statement::LimitHeard;
+use steering::route::{Choice, LimitTokenRequest};
+use steering::statement::KnownLimit;
 use tokio::sync::{mpsc, oneshot};
 
 /// Time for which an upstream is passed over of whose limit no holder has told in time.
@@ -16,7 +16,7 @@
 /// A request that waits for a token.
 pub(crate) struct LimitCall {
     /// What is asked.
-    pub ask: LimitAsk,
+    pub ask: LimitTokenRequest,
     /// Gets the answer; its asker may have left.
     pub answer: oneshot::Sender<Result<(), Dry>>,
 }
@@ -37,16 +37,16 @@
     /// # Errors
     ///
     /// There is none; the request must not be sent there.
-    pub async fn token(&self, choice: &Choice, heard: LimitHeard, urgency: f64) -> Result<(), Dry> {
+    pub async fn token(&self, choice: &Choice, heard: KnownLimit, urgency: f64) -> Result<(), Dry> {
         let report = &choice.upstream.report;
         let (answer, answered) = oneshot::channel();
         let call = LimitCall {
-            ask: LimitAsk {
+            ask: LimitTokenRequest {
                 upstream: report.id.clone(),
                 zone: report.zone.clone(),
-                born_ms: report.born_ms,
+                started_ms: report.born_ms,
                 per_s: heard.per_s,
-                heard_ms: heard.age.as_millis() as u32,
+                age_ms: heard.age.as_millis() as u32,
                 urgency,
             },
             answer,
@@ -59,11 +59,11 @@
         let mut condition = choice.upstream.condition();
         match token {
             Ok(()) => {
-                condition.stated.limit_gave();
+                condition.stated.limit_token_granted();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(Dry(wait)) => condition.stated.limit_is_dry(clock::now(), wait),
+            Err(Dry(wait)) => condition.stated.limit_exhausted(clock::now(), wait),
         }
         token
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use steering::ids::{HostName, RegionName, ZoneName};
-use steering::route::AllowanceTerms;
+use steering::route::AllowanceTolerance;
 
 /// Where a host stands, listens, and what operators ask of it.
 #[derive(Debug, Clone, PartialEq)]
@@ -63,7 +63,7 @@
     /// Requests besides that it may receive in a second.
     pub cold_spare: f64,
     /// How closely customers' allowances are kept.
-    pub allowances: AllowanceTerms,
+    pub allowances: AllowanceTolerance,
     /// Longest time for which a look-up's answer may hold.
     pub look_up_ttl_most: Duration,
     /// Share of a region's requests that may change the region that serves them, from
@@ -117,7 +117,7 @@
             repeat_spare: 10.0,
             cold_times: 1.0,
             cold_spare: 0.0,
-            allowances: AllowanceTerms::default(),
+            allowances: AllowanceTolerance::default(),
             look_up_ttl_most: Duration::from_secs(5),
             shift_most: 0.15,
         }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use steering::route::{
-    Admission, ENDS_REFUSED, RefusedWork, Suspects, WorkDigest, WorkIdentity, WorkKey, WorkNews,
-    WorkState, WorkTold,
+    Admission, CRASHES_TO_REFUSE, RefusedWork, Suspects, WorkDigest, WorkEvent, WorkIdentity,
+    WorkKey, WorkState, WorkUpdate,
 };
 use tokio::sync::mpsc;
 
@@ -16,7 +16,7 @@
 pub(crate) struct FreshNews {
     /// When this host learned them.
     pub learned: Instant,
-    pub news: WorkNews,
+    pub news: WorkUpdate,
     /// Whether all hosts are to be told, not only those of the own group. A first end, and that
     /// it was not the cause, is told to few: with hundreds of hosts an upstream that ends by itself
     /// would cost each of them a message for each request that it had in flight.
@@ -45,10 +45,10 @@
     pub fn admit(&self, work: WorkIdentity) -> (Admission, u32) {
         let mut suspects = self.suspects();
         let admission = suspects.admit(clock::now(), work);
-        let ends = suspects.ends_of(work);
+        let ends = suspects.crash_count_of(work);
         drop(suspects);
         count(match admission {
-            Admission::Free => return (admission, ends),
+            Admission::Unrestricted => return (admission, ends),
             Admission::Refused(_) => "refused",
             Admission::Trial => "tried",
         });
@@ -58,35 +58,35 @@
                 work = name(work.request),
                 object = name(work.object)
             );
-            let told = WorkTold::Tried;
-            self.tell(WorkNews { work, told }, true);
+            let told = WorkEvent::TrialStarted;
+            self.tell(WorkUpdate { work, event: told }, true);
         }
         (admission, ends)
     }
 
     /// For how long a request that was let in with `ends` known may not be sent any more.
     pub fn barred_for(&self, work: WorkIdentity, ends: u32) -> Option<Duration> {
-        self.suspects().barred_for(clock::now(), work, ends)
+        self.suspects().blocked_for(clock::now(), work, ends)
     }
 
     /// Whether a request may be sent once more after its upstream has ended.
     pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
-        self.suspects().may_be_repeated(work)
+        self.suspects().may_be_retried(work)
     }
 
     /// Takes what a request of this host has shown.
-    pub fn learn(&self, work: WorkIdentity, told: WorkTold) {
-        let news = WorkNews { work, told };
-        if matches!(told, WorkTold::Ended { .. }) {
+    pub fn learn(&self, work: WorkIdentity, told: WorkEvent) {
+        let news = WorkUpdate { work, event: told };
+        if matches!(told, WorkEvent::Crashed { .. }) {
             count("ended");
         }
         if let Some(ends) = self.take(&news, OWN) {
-            self.tell(news, ends >= ENDS_REFUSED);
+            self.tell(news, ends >= CRASHES_TO_REFUSE);
         }
     }
 
     /// Takes what the host `from` has told.
-    pub fn hear(&self, news: &[WorkNews], from: &str) {
+    pub fn hear(&self, news: &[WorkUpdate], from: &str) {
         for news in news {
             self.take(news, from);
         }
@@ -111,11 +111,11 @@
     pub fn merge(&self, states: &[WorkState], from: &str) {
         let now = clock::now();
         let mut suspects = self.suspects();
-        suspects.compared(now);
+        suspects.note_synced(now);
         for state in states {
-            let before = suspects.ends(state.key);
+            let before = suspects.crash_count(state.key);
             suspects.merge(now, state);
-            note_change(state.key, before, suspects.ends(state.key), from);
+            note_change(state.key, before, suspects.crash_count(state.key), from);
         }
     }
 
@@ -126,9 +126,9 @@
 
     /// Does what an operator wants of a request or an object, and tells all hosts; false where there is
     /// nothing to be done.
-    pub fn order(&self, key: WorkKey, order: WorkTold) -> bool {
+    pub fn order(&self, key: WorkKey, order: WorkEvent) -> bool {
         let work = WorkIdentity::named(key);
-        let news = WorkNews { work, told: order };
+        let news = WorkUpdate { work, event: order };
         tracing::info!(event = "work_ordered", work = name(key), ?order);
         let is_new = self.take(&news, OWN).is_some();
         if is_new {
@@ -143,24 +143,24 @@
     }
 
     /// Ends in a row under the request or its object, now or before, where the news are new.
-    fn take(&self, news: &WorkNews, by: &str) -> Option<u32> {
+    fn take(&self, news: &WorkUpdate, by: &str) -> Option<u32> {
         let mut suspects = self.suspects();
         let before: Vec<(WorkKey, u32)> = news
             .work
             .keys()
-            .map(|key| (key, suspects.ends(key)))
+            .map(|key| (key, suspects.crash_count(key)))
             .collect();
-        let is_new = suspects.take(clock::now(), news.work, news.told);
+        let is_new = suspects.apply(clock::now(), news.work, news.event);
         let mut most = 0;
         for (key, before) in before {
-            let ends = suspects.ends(key);
+            let ends = suspects.crash_count(key);
             note_change(key, before, ends, by);
             most = most.max(before).max(ends);
         }
         is_new.then_some(most)
     }
 
-    fn tell(&self, news: WorkNews, for_all: bool) {
+    fn tell(&self, news: WorkUpdate, for_all: bool) {
         let learned = clock::now();
         // The thread of control ends with the host.
         let _ = self.news.send(FreshNews {
@@ -172,9 +172,9 @@
 }
 
 fn note_change(key: WorkKey, before: u32, ends: u32, by: &str) {
-    if ends > before && ends >= ENDS_REFUSED {
+    if ends > before && ends >= CRASHES_TO_REFUSE {
         tracing::warn!(event = "work_refused", work = name(key), ends, by);
-    } else if ends < before && before >= ENDS_REFUSED {
+    } else if ends < before && before >= CRASHES_TO_REFUSE {
         tracing::info!(event = "work_cleared", work = name(key), ends = before, by);
     }
 }
--- a/crates/gateway/src/traffic/hear.rs
+++ b/crates/gateway/src/traffic/hear.rs
@@ -6,7 +6,7 @@
 
 use hyper::header::HeaderName;
 use steering::route::Upstream;
-use steering::statement::{LimitChange, LimitNamed, RestAsked, Statement};
+use steering::statement::{LimitChange, RequestedLimit, RequestedRest, Statement};
 
 /// Names of statements that are kept in mind because nothing reads them.
 const UNREAD_MOST: usize = 32;
@@ -36,11 +36,11 @@
     hear_limit(upstream, now, said);
 }
 
-fn hear_rest(upstream: &Upstream, now: Instant, asked: RestAsked) {
+fn hear_rest(upstream: &Upstream, now: Instant, asked: RequestedRest) {
     let rest = asked.granted();
     if upstream.condition().stated.rest(now, rest) {
         let (id, rest_ms) = (&upstream.report.id, rest.as_millis() as u64);
-        let as_asked = asked.is_granted_whole();
+        let as_asked = asked.is_granted_in_full();
         tracing::info!(event = "upstream_rests", upstream = id, rest_ms, as_asked);
     }
 }
@@ -50,12 +50,12 @@
     if named.is_none() && !said.is_own {
         return;
     }
-    let granted = named.and_then(LimitNamed::granted);
+    let granted = named.and_then(RequestedLimit::granted);
     let change = upstream.condition().stated.limit(now, said.sent, granted);
     let (id, born_ms) = (&upstream.report.id, upstream.report.born_ms);
     match (change, named) {
         (Some(LimitChange::Named), Some(named)) => {
-            let as_named = named.is_granted_whole();
+            let as_named = named.is_granted_in_full();
             tracing::info!(
                 event = "upstream_limits",
                 upstream = id,
--- a/crates/gateway/src/traffic/look.rs
+++ b/crates/gateway/src/traffic/look.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use steering::ids::RequestId;
-use steering::route::{Upstream, WorkIdentity, WorkTold};
+use steering::route::{Upstream, WorkEvent, WorkIdentity};
 
 use super::Traffic;
 use crate::suspects;
@@ -45,10 +45,10 @@
     }
 
     fn learn(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
-        let told = WorkTold::Ended {
+        let told = WorkEvent::Crashed {
             start: self.upstream.report.start_hash(),
             sent_ms: clock::elapsed(sent).as_millis() as u32,
-            ended_ms: clock::elapsed(closed).as_millis() as u32,
+            crashed_ms: clock::elapsed(closed).as_millis() as u32,
         };
         self.traffic.common.suspects.learn(work, told);
     }
--- a/crates/gateway/src/traffic/operator.rs
+++ b/crates/gateway/src/traffic/operator.rs
@@ -6,7 +6,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use serde_json::json;
-use steering::route::{WorkKey, WorkTold};
+use steering::route::{WorkEvent, WorkKey};
 use upstream::{Body, full};
 
 use super::Traffic;
@@ -27,8 +27,8 @@
     };
     let order = match *request.method() {
         Method::GET if rest.is_empty() => return list(traffic),
-        Method::PUT => WorkTold::Refused,
-        Method::DELETE => WorkTold::Cleared,
+        Method::PUT => WorkEvent::Refused,
+        Method::DELETE => WorkEvent::Cleared,
         _ => return status(StatusCode::METHOD_NOT_ALLOWED),
     };
     if !is_own {
@@ -54,7 +54,7 @@
     let refused = refused.iter().map(|refused| {
         json!({
             "work": suspects::name(refused.work),
-            "ends": refused.ends,
+            "ends": refused.crashes,
             "refused_for_ms": refused.refused_for.as_millis() as u64,
         })
     });
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -7,8 +7,8 @@
 use hyper::http::request::Parts;
 use steering::ids::ServiceName;
 use steering::route::{
-    Admission, Choice, Fate, Lack, NoRoom, Route, Sender, Sent, Try, UpstreamId, Wish,
-    WorkIdentity, WorkTold, after, choose,
+    Admission, Choice, Fate, Lack, NoRoom, Route, Sender, Sent, Try, UpstreamId, Wish, WorkEvent,
+    WorkIdentity, after, choose,
 };
 use tokio::task::spawn_local;
 use upstream::{Body, WorkBody};
@@ -84,7 +84,7 @@
     pub async fn run(&mut self) -> Result<Response<Body>, Refusal> {
         let (admission, ends_known) = self.traffic.common.suspects.admit(self.work);
         self.ends_known = ends_known;
-        if admission != Admission::Free {
+        if admission != Admission::Unrestricted {
             self.trail.work = Some(self.work.request);
         }
         if let Admission::Refused(time) = admission {
@@ -158,7 +158,7 @@
         let missed = match send(self.traffic, choice, &mut sending, sent).await {
             Ok(answer) => {
                 let sent_ms = clock::elapsed(begun).as_millis() as u32;
-                let told = WorkTold::Answered { sent_ms };
+                let told = WorkEvent::Answered { sent_ms };
                 self.traffic.common.suspects.learn(self.work, told);
                 return Some(answer);
             }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -149,7 +149,7 @@
         count_send("not_sent");
         lease.give_back();
         return Err(Missed {
-            lacks_token: matches!(obstacle, Obstacle::Limits(_)),
+            lacks_token: matches!(obstacle, Obstacle::LimitExhausted(_)),
             ..Missed::new(Sent::Not, obstacle)
         });
     }
--- a/crates/standin/src/measure/customers.rs
+++ b/crates/standin/src/measure/customers.rs
@@ -5,8 +5,8 @@
 
 use serde_json::{Value, json};
 use steering::route::{
-    Allowance, AllowanceTerms, Credentials, Customer, CustomerTable, KeyHash, Step, Take,
-    TokenBound, TokenLeases, TokenPool, group_of,
+    Allowance, AllowanceTolerance, Credentials, Customer, CustomerTable, KeyHash, LeaseStep,
+    TakeResult, TokenBound, TokenLeases, TokenPool, group_of,
 };
 
 const ROUNDS: usize = 200_000;
@@ -61,27 +61,27 @@
             per_s: 1e9,
             burst: 1e9,
         },
-        &AllowanceTerms::default(),
+        &AllowanceTolerance::default(),
     );
     // A request makes the customer known; then its tokens are lent ahead.
     let at = now + Duration::from_millis(1);
-    assert_eq!(leases.take(at, "c1"), Take::Wait);
-    leases.give_up("c1");
+    assert_eq!(leases.take(at, "c1"), TakeResult::Wait);
+    leases.cancel_wait("c1");
     let mut taken = 0;
     let mut spent = Duration::ZERO;
     for round in 0..1_000 {
         let at = now + Duration::from_millis(300) * (round + 1);
         for _ in 0..3 {
-            let Step::Ask(host, ask) = leases.step(at, group_of("c1"), &["h1"]) else {
+            let LeaseStep::SendRequest(host, ask) = leases.step(at, group_of("c1"), &["h1"]) else {
                 continue;
             };
-            let reply = pool.ask(at, &host, true, &ask, Some(1), &|_| Some(bound));
+            let reply = pool.handle_request(at, &host, true, &ask, Some(1), &|_| Some(bound));
             leases.answered(at, at, &host, &ask, &reply);
         }
         let begun = Instant::now();
         for _ in 0..200 {
-            taken += u32::from(black_box(leases.take(at, "c1")) == Take::Taken);
-            leases.give_up("c1");
+            taken += u32::from(black_box(leases.take(at, "c1")) == TakeResult::Taken);
+            leases.cancel_wait("c1");
         }
         spent += begun.elapsed();
     }
--- a/crates/standin/src/measure/suspects.rs
+++ b/crates/standin/src/measure/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use steering::route::{Suspects, WorkIdentity, WorkParts, WorkTold};
+use steering::route::{Suspects, WorkEvent, WorkIdentity, WorkParts};
 
 use super::balance::round;
 
@@ -32,12 +32,12 @@
 fn knowing(now: Instant, kinds: u64) -> Suspects {
     let mut suspects = Suspects::new("h1");
     for work in 0..kinds {
-        let told = WorkTold::Ended {
+        let told = WorkEvent::Crashed {
             start: work,
             sent_ms: 100,
-            ended_ms: 0,
+            crashed_ms: 0,
         };
-        suspects.take(now, WorkIdentity::named(work), told);
+        suspects.apply(now, WorkIdentity::named(work), told);
     }
     suspects
 }
--- a/crates/standin/src/model/product.rs
+++ b/crates/standin/src/model/product.rs
@@ -6,11 +6,13 @@
 use std::time::{Duration, Instant};
 
 use steering::belief::{Beliefs, Report};
-use steering::choice::{LeastExpected, PlaceView, Policy, choose_places};
+use steering::choice::{LeastExpected, Policy, ZoneCandidate, rank_zones};
 use steering::document::Upstream;
 use steering::limiter::{Ledger, LimitKey, Roster, WHOLE_PERMILLE};
 use steering::plan::{CallerClass, RuleMatch};
-use steering::pool::{Decision, Grant, LoadReport, Offer, Outcome, Pool, PoolLimits, Step, WaitId};
+use steering::pool::{
+    Decision, Grant, LoadReport, Outcome, Pool, PoolLimits, PoolRequest, QueueStep, WaitId,
+};
 
 use super::engine::{Engine, Event, Fate, Steerer};
 
@@ -21,8 +23,8 @@
 /// One way between two hosts of a zone, in milliseconds: the relay to the owner.
 const RELAY_MS: f64 = 0.1;
 
-fn offer(deadline: Instant) -> Offer {
-    Offer {
+fn offer(deadline: Instant) -> PoolRequest {
+    PoolRequest {
         deadline,
         priority: 5,
         hedge: false,
@@ -174,7 +176,7 @@
         }
     }
 
-    fn views(&self, engine: &Engine, entry: usize) -> Vec<(usize, PlaceView)> {
+    fn views(&self, engine: &Engine, entry: usize) -> Vec<(usize, ZoneCandidate)> {
         let plan = &engine.world.plan;
         let service = &plan.services[SERVICE];
         let rule = rule(engine, entry);
@@ -195,7 +197,7 @@
             let believed = self.beliefs[entry].believe(now, &zone.zone, SERVICE, zone.slots, own);
             views.push((
                 zone_number,
-                PlaceView {
+                ZoneCandidate {
                     zone: zone.zone.clone(),
                     share: rule.map(|_| shares[zone_number]),
                     one_way_ms: engine.world.one_way_ms[entry][zone_number],
@@ -266,15 +268,15 @@
         engine.send_back(request, way_ms, false);
     }
 
-    fn settle(&mut self, engine: &mut Engine, zone: usize, steps: Vec<Step>) {
+    fn settle(&mut self, engine: &mut Engine, zone: usize, steps: Vec<QueueStep>) {
         for step in steps {
             match step {
-                Step::Granted(grant) => {
+                QueueStep::Granted(grant) => {
                     if let Some(request) = self.owners[zone].waiting.remove(&grant.wait) {
                         self.go(engine, zone, request, &grant);
                     }
                 }
-                Step::Refused(wait, _) => {
+                QueueStep::Refused(wait, _) => {
                     if let Some(request) = self.owners[zone].waiting.remove(&wait) {
                         self.release_limits(zone, request);
                         self.refuse(engine, zone, request);
@@ -300,8 +302,8 @@
     fn arrive(&mut self, engine: &mut Engine, request: usize) {
         let entry = engine.requests[request].entry;
         let views = self.views(engine, entry);
-        let places: Vec<PlaceView> = views.iter().map(|(_, view)| view.clone()).collect();
-        let order = choose_places(&places, &mut engine.rng);
+        let places: Vec<ZoneCandidate> = views.iter().map(|(_, view)| view.clone()).collect();
+        let order = rank_zones(&places, &mut engine.rng);
         let zones = order.into_iter().map(|i| views[i].0).take(SPILLS + 1);
         engine.requests[request].places = zones.collect();
         self.send_on(engine, request);
--- a/crates/steering/src/choice/mod.rs
+++ b/crates/steering/src/choice/mod.rs
@@ -3,5 +3,5 @@
 mod place;
 mod policy;
 
-pub use place::{PlaceView, choose_places};
+pub use place::{ZoneCandidate, rank_zones};
 pub use policy::{Candidate, LeastExpected, LeastLoaded, Policy};
--- a/crates/steering/src/choice/place.rs
+++ b/crates/steering/src/choice/place.rs
@@ -9,7 +9,7 @@
 
 /// A zone as a place for a service, as believed now.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlaceView {
+pub struct ZoneCandidate {
     /// The zone.
     pub zone: ZoneName,
     /// Share set by a rule, over 0; none where no rule is for the request.
@@ -24,7 +24,7 @@
     pub latency_ms: f64,
 }
 
-impl PlaceView {
+impl ZoneCandidate {
     /// Whether more wait than a place should be given by a share.
     fn is_full(&self) -> bool {
         self.in_flight >= self.capacity * FULL
@@ -51,7 +51,7 @@
 /// follow by cost; without, all are in the order of cost. Places without
 /// capacity come last: belief may be wrong, and their owner refuses what it
 /// can't take.
-pub fn choose_places(views: &[PlaceView], rng: &mut dyn RngCore) -> Vec<usize> {
+pub fn rank_zones(views: &[ZoneCandidate], rng: &mut dyn RngCore) -> Vec<usize> {
     let mut order: Vec<usize> = (0..views.len())
         .filter(|i| views[*i].share.is_none_or(|share| share > 0.0))
         .collect();
@@ -67,7 +67,7 @@
     order
 }
 
-fn draw(views: &[PlaceView], order: &[usize], rng: &mut dyn RngCore) -> Option<usize> {
+fn draw(views: &[ZoneCandidate], order: &[usize], rng: &mut dyn RngCore) -> Option<usize> {
     let weight = |i: &usize| match &views[*i] {
         view if view.is_full() => 0.0,
         view => view.share.unwrap_or(0.0),
--- a/crates/steering/src/limiter/escrow.rs
+++ b/crates/steering/src/limiter/escrow.rs
@@ -64,7 +64,7 @@
     me: HostName,
     incarnation: Incarnation,
     /// Units of the limit that are this host's own, by the zone's roster.
-    floor: Units,
+    owned: Units,
     lent: BTreeMap<(HostName, Incarnation), Lent>,
     borrowed: BTreeMap<HostName, Borrowed>,
 }
@@ -75,20 +75,20 @@
         Escrow {
             me,
             incarnation,
-            floor: 0,
+            owned: 0,
             lent: BTreeMap::new(),
             borrowed: BTreeMap::new(),
         }
     }
 
     /// Sets what is this host's own.
-    pub fn set_floor(&mut self, floor: Units) {
-        self.floor = floor;
+    pub fn set_owned(&mut self, owned: Units) {
+        self.owned = owned;
     }
 
     /// Units of its own that are not lent.
     pub fn own(&self) -> Units {
-        self.floor.saturating_sub(self.lent())
+        self.owned.saturating_sub(self.lent())
     }
 
     /// Units lent out.
@@ -169,7 +169,7 @@
         }
         let keep = request.keep.min(last.units);
         let others = self.lent() - last.units;
-        let free = self.floor.saturating_sub(others + keep);
+        let free = self.owned.saturating_sub(others + keep);
         let units = keep + request.want.min(spare).min(free);
         let lent = Lent {
             sequence: request.sequence,
--- a/crates/steering/src/limiter/flight.rs
+++ b/crates/steering/src/limiter/in_flight_counter.rs
@@ -4,12 +4,12 @@
 
 /// Counts requests in flight against an allowance that may move.
 #[derive(Debug, Clone, Default)]
-pub struct Flight {
+pub struct InFlightCounter {
     allowed: Units,
     in_flight: Units,
 }
 
-impl Flight {
+impl InFlightCounter {
     /// Sets the allowance; what is in flight stays.
     pub fn allow(&mut self, units: Units) {
         self.allowed = units;
--- a/crates/steering/src/limiter/ledger.rs
+++ b/crates/steering/src/limiter/ledger.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::{Escrow, Flight, LoanGrant, LoanRequest, Rate, Roster, Units};
+use super::{Escrow, InFlightCounter, LoanGrant, LoanRequest, RateCounter, Roster, Units};
 use crate::ids::{HostName, Incarnation, RegionName, RuleName};
 
 /// Which limit of a zone.
@@ -51,8 +51,8 @@
 
 #[derive(Debug)]
 enum Count {
-    Flight(Flight),
-    Rate(Rate),
+    Flight(InFlightCounter),
+    Rate(RateCounter),
 }
 
 #[derive(Debug)]
@@ -98,7 +98,7 @@
 
 /// What is asked of a lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Want {
+pub enum LoanDemand {
     /// So many units more.
     More(Units),
     /// The same as before, for longer.
@@ -157,18 +157,18 @@
     pub fn configure(&mut self, now: Instant, units: &BTreeMap<LimitKey, Units>, roster: &Roster) {
         self.limits.retain(|key, _| units.contains_key(key));
         for (key, units) in units {
-            let floor = roster.floor(&self.me, self.incarnation, *units);
+            let owned = roster.owned_units(&self.me, self.incarnation, *units);
             let limit = self.limits.entry(key.clone()).or_insert_with(|| Limit {
                 units: *units,
                 escrow: Escrow::new(self.me.clone(), self.incarnation),
                 count: match key.kind() {
-                    LimitKind::Flight => Count::Flight(Flight::default()),
-                    LimitKind::Rate => Count::Rate(Rate::new(now)),
+                    LimitKind::Flight => Count::Flight(InFlightCounter::default()),
+                    LimitKind::Rate => Count::Rate(RateCounter::new(now)),
                 },
                 refused: 0,
             });
             limit.units = *units;
-            limit.escrow.set_floor(floor);
+            limit.escrow.set_owned(owned);
             limit.settle(now);
         }
     }
@@ -221,15 +221,15 @@
     }
 
     /// Limits that refused requests since the last call, with how many.
-    pub fn short(&mut self) -> Vec<(LimitKey, Units)> {
-        let mut short = Vec::new();
+    pub fn take_refusals(&mut self) -> Vec<(LimitKey, Units)> {
+        let mut refusals = Vec::new();
         for (key, limit) in &mut self.limits {
             let refused = std::mem::take(&mut limit.refused);
             if refused > 0 {
-                short.push((key.clone(), refused));
+                refusals.push((key.clone(), refused));
             }
         }
-        short
+        refusals
     }
 
     /// Loans that are held, each with whether it is still of use.
@@ -261,16 +261,16 @@
         now: Instant,
         key: &LimitKey,
         lender: &str,
-        want: Want,
+        want: LoanDemand,
     ) -> Option<LoanRequest> {
         let limit = self.limits.get_mut(key)?;
         let keep = match want {
-            Want::Less => limit.used(now).saturating_sub(limit.escrow.own()),
-            Want::Same | Want::More(_) => limit.escrow.borrowed_of(lender),
+            LoanDemand::Less => limit.used(now).saturating_sub(limit.escrow.own()),
+            LoanDemand::Same | LoanDemand::More(_) => limit.escrow.borrowed_of(lender),
         };
         let want = match want {
-            Want::More(units) => units,
-            Want::Same | Want::Less => 0,
+            LoanDemand::More(units) => units,
+            LoanDemand::Same | LoanDemand::Less => 0,
         };
         let request = limit.escrow.request(now, lender, keep, want);
         limit.settle(now);
--- a/crates/steering/src/limiter/mod.rs
+++ b/crates/steering/src/limiter/mod.rs
@@ -4,16 +4,16 @@
 //! lost, late or repeated between the hosts.
 
 mod escrow;
-mod flight;
+mod in_flight_counter;
 mod ledger;
-mod rate;
+mod rate_counter;
 mod roster;
 
 pub use escrow::{Escrow, LOAN_LAPSE, LoanGrant, LoanRequest};
-pub use flight::Flight;
-pub use ledger::{HeldLoan, Ledger, LedgerEntry, LimitKey, LimitKind, Want};
-pub use rate::Rate;
-pub use roster::{Part, Roster, RosterError, WHOLE_PERMILLE};
+pub use in_flight_counter::InFlightCounter;
+pub use ledger::{HeldLoan, Ledger, LedgerEntry, LimitKey, LimitKind, LoanDemand};
+pub use rate_counter::RateCounter;
+pub use roster::{HostShare, Roster, RosterError, WHOLE_PERMILLE};
 
 /// Units of a limit: requests in flight, or requests in any second.
 pub type Units = u32;
--- a/crates/steering/src/limiter/rate.rs
+++ b/crates/steering/src/limiter/rate_counter.rs
@@ -11,7 +11,7 @@
 
 /// Counts admissions over a sliding window, in slices of a twentieth of it.
 #[derive(Debug, Clone)]
-pub struct Rate {
+pub struct RateCounter {
     start: Instant,
     /// Slice number and admissions, oldest first; all within the window.
     slices: VecDeque<(u64, Units)>,
@@ -20,10 +20,10 @@
     rise: Option<(Instant, Units)>,
 }
 
-impl Rate {
+impl RateCounter {
     /// Nothing is allowed yet.
     pub fn new(now: Instant) -> Self {
-        Rate {
+        RateCounter {
             start: now,
             slices: VecDeque::new(),
             allowed: 0,
--- a/crates/steering/src/limiter/roster.rs
+++ b/crates/steering/src/limiter/roster.rs
@@ -18,7 +18,7 @@
 
 /// One start's part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct HostShare {
     /// The start that it belongs to.
     pub incarnation: Incarnation,
     /// Thousandths of each limit of the zone.
@@ -28,8 +28,8 @@
 /// All parts of a zone; they and `free_permille` sum to the whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Part of each host.
-    pub parts: BTreeMap<HostName, Part>,
+    /// Share of each host.
+    pub parts: BTreeMap<HostName, HostShare>,
     /// What belongs to nobody.
     pub free_permille: u32,
 }
@@ -64,7 +64,7 @@
     }
 
     /// Units of a limit that a start owns; rounded down, so that the sum never exceeds it.
-    pub fn floor(&self, host: &str, incarnation: Incarnation, limit: Units) -> Units {
+    pub fn owned_units(&self, host: &str, incarnation: Incarnation, limit: Units) -> Units {
         let permille = u64::from(self.permille(host, incarnation));
         (u64::from(limit) * permille / u64::from(WHOLE_PERMILLE)) as Units
     }
@@ -81,7 +81,7 @@
         incarnation: Incarnation,
         most: u32,
     ) -> Result<u32, RosterError> {
-        let part = self.parts.entry(host.to_owned()).or_insert(Part {
+        let part = self.parts.entry(host.to_owned()).or_insert(HostShare {
             incarnation,
             permille: 0,
         });
--- a/crates/steering/src/pool/member.rs
+++ b/crates/steering/src/pool/member.rs
@@ -9,7 +9,7 @@
 use crate::document::Upstream;
 use crate::ids::UpstreamName;
 use crate::labels;
-use crate::statement::{Obstacle, Stated};
+use crate::statement::{ActiveStatements, Obstacle};
 
 /// Small: places are compared by it, and chasing noise costs ways between zones.
 const LATENCY_WEIGHT: f64 = 0.05;
@@ -79,7 +79,7 @@
     /// Whether its last report says that it accepts no work; only a report takes that back.
     refuses_work: bool,
     /// What it has said in its answers.
-    stated: Stated,
+    stated: ActiveStatements,
     /// From 1 to `upstream.slots`; grows with good answers, cut by sheds and slow ones.
     window: f64,
     /// Most in flight since `window_checked`.
@@ -116,7 +116,7 @@
             in_flight: 0,
             leaving: false,
             refuses_work: false,
-            stated: Stated::default(),
+            stated: ActiveStatements::default(),
             window_peak: 0,
             window_checked: now,
             latency_ms: None,
--- a/crates/steering/src/pool/mod.rs
+++ b/crates/steering/src/pool/mod.rs
@@ -41,7 +41,7 @@
 
 /// A request that is offered to a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Offer {
+pub struct PoolRequest {
     /// Time by which it must have its first byte.
     pub deadline: Instant,
     /// Priority of its service.
@@ -67,7 +67,7 @@
 pub enum Decision {
     /// Send it now.
     Granted(Grant),
-    /// It waits; a later [`Step`] says what becomes of it.
+    /// It waits; a later [`QueueStep`] says what becomes of it.
     Queued(WaitId),
     /// It is not run.
     Refused(ErrorKind),
@@ -75,7 +75,7 @@
 
 /// What a change of the pool's state means for waiting requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum QueueStep {
     /// The request may be sent.
     Granted(Grant),
     /// The request is not run.
@@ -148,8 +148,8 @@
     }
 
     /// Offers a request.
-    pub fn offer(&mut self, now: Instant, offer: Offer, rng: &mut dyn RngCore) -> Decision {
-        let Offer {
+    pub fn offer(&mut self, now: Instant, offer: PoolRequest, rng: &mut dyn RngCore) -> Decision {
+        let PoolRequest {
             deadline,
             priority,
             hedge,
@@ -191,7 +191,7 @@
         grant: &Grant,
         outcome: Outcome,
         rng: &mut dyn RngCore,
-    ) -> Vec<Step> {
+    ) -> Vec<QueueStep> {
         let expected = self.limits.expected;
         if let Some(member) = self.find(&grant.upstream.name) {
             member.release(now, grant.sent, outcome, expected);
@@ -221,25 +221,25 @@
     }
 
     /// Grants what can go now and refuses what can't make its deadline any more.
-    pub fn advance(&mut self, now: Instant, rng: &mut dyn RngCore) -> Vec<Step> {
-        let mut steps: Vec<Step> = self
+    pub fn advance(&mut self, now: Instant, rng: &mut dyn RngCore) -> Vec<QueueStep> {
+        let mut steps: Vec<QueueStep> = self
             .queue
             .drain_late(now)
             .into_iter()
-            .map(|wait| Step::Refused(wait, ErrorKind::DeadlineBeforeDispatch))
+            .map(|wait| QueueStep::Refused(wait, ErrorKind::DeadlineBeforeDispatch))
             .collect();
         steps.extend(
             self.queue
                 .drain_evicted()
                 .into_iter()
-                .map(|wait| Step::Refused(wait, ErrorKind::NoCapacity)),
+                .map(|wait| QueueStep::Refused(wait, ErrorKind::NoCapacity)),
         );
         while let Some(wait) = self.queue.peek() {
             let Some(grant) = self.grant(now, wait, false, rng) else {
                 break;
             };
             self.queue.remove(wait);
-            steps.push(Step::Granted(grant));
+            steps.push(QueueStep::Granted(grant));
         }
         steps
     }
--- a/crates/steering/src/route/allowance/bound.rs
+++ b/crates/steering/src/route/allowance/bound.rs
@@ -13,22 +13,22 @@
 
 /// What operators say of all allowances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AllowanceTerms {
+pub struct AllowanceTolerance {
     /// Span over which requests are counted.
     pub window: Duration,
     /// Share by which a count may be above the allowance.
-    pub over: f64,
+    pub over_share: f64,
     /// Requests besides by which it may.
-    pub spare: f64,
+    pub over_requests: f64,
 }
 
-impl Default for AllowanceTerms {
+impl Default for AllowanceTolerance {
     /// To the letter, over some seconds.
     fn default() -> Self {
-        AllowanceTerms {
+        AllowanceTolerance {
             window: Duration::from_secs(5),
-            over: 0.0,
-            spare: 0.0,
+            over_share: 0.0,
+            over_requests: 0.0,
         }
     }
 }
@@ -47,10 +47,10 @@
 
 impl TokenBound {
     /// The bucket that keeps an allowance.
-    pub fn new(allowance: &Allowance, terms: &AllowanceTerms) -> Self {
+    pub fn new(allowance: &Allowance, terms: &AllowanceTolerance) -> Self {
         let window_s = terms.window.as_secs_f64();
-        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over);
-        let depth = (most + terms.spare - allowance.per_s * window_s) * USED_SHARE;
+        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over_share);
+        let depth = (most + terms.over_requests - allowance.per_s * window_s) * USED_SHARE;
         let least = (allowance.per_s * DEPTH_LEAST.as_secs_f64()).max(1.0);
         let lacking = (least - depth).max(0.0);
         TokenBound {
--- a/crates/steering/src/route/allowance/lease.rs
+++ b/crates/steering/src/route/allowance/lease.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::KEEP_ALIVE;
-use super::message::{TokenGrant, TokenWant};
+use super::message::{TokenDemand, TokenGrant};
 
 /// Span for whose requests tokens are held ahead: some answers from far regions.
 const AHEAD: Duration = Duration::from_millis(400);
@@ -23,11 +23,11 @@
 
 /// What becomes of a request that takes a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Take {
+pub enum TakeResult {
     /// It has one.
     Taken,
     /// There is none for so long.
-    Dry(Duration),
+    Exhausted(Duration),
     /// It must be asked for.
     Wait,
 }
@@ -96,13 +96,13 @@
     }
 
     /// What is to be said of the customer; none where nothing is.
-    pub fn want(&mut self, now: Instant, customer: &str, spares: bool) -> Option<TokenWant> {
+    pub fn want(&mut self, now: Instant, customer: &str, spares: bool) -> Option<TokenDemand> {
         self.take_rate(now);
         let wanted = self.wanted(now, spares);
         if wanted == 0 && self.waiting == 0 {
             self.tokens = 0;
             let lent = std::mem::take(&mut self.lent);
-            return (lent > 0).then(|| TokenWant {
+            return (lent > 0).then(|| TokenDemand {
                 customer: customer.to_owned(),
                 held: 0,
                 need: 0,
@@ -110,7 +110,7 @@
             });
         }
         let lacks = self.lacking() > 0 || self.is_low(wanted);
-        (lacks || self.lent != self.tokens).then(|| TokenWant {
+        (lacks || self.lent != self.tokens).then(|| TokenDemand {
             customer: customer.to_owned(),
             held: self.tokens,
             need: self.lacking(),
@@ -136,29 +136,29 @@
     }
 
     /// Takes a token that is held for a request; `is_good` where those of its pool still are.
-    pub fn try_take(&mut self, now: Instant, is_good: bool) -> Take {
+    pub fn try_take(&mut self, now: Instant, is_good: bool) -> TakeResult {
         if is_good && self.tokens > 0 {
             self.tokens -= 1;
-            return Take::Taken;
+            return TakeResult::Taken;
         }
         match &self.dry {
             Some(dry) if dry.until > now => {
-                Take::Dry(dry.all_served_at.saturating_duration_since(now))
+                TakeResult::Exhausted(dry.all_served_at.saturating_duration_since(now))
             }
-            _ => Take::Wait,
+            _ => TakeResult::Wait,
         }
     }
 
     /// Takes a token for a request that waits.
-    pub fn try_again(&mut self, now: Instant, is_good: bool) -> Take {
+    pub fn try_again(&mut self, now: Instant, is_good: bool) -> TakeResult {
         let taken = match self.spared.checked_sub(1) {
             Some(left) => {
                 self.spared = left;
-                Take::Taken
+                TakeResult::Taken
             }
             None => self.try_take(now, is_good),
         };
-        if taken != Take::Wait {
+        if taken != TakeResult::Wait {
             self.leave();
         }
         taken
@@ -177,16 +177,16 @@
     }
 
     /// Takes tokens of another host for requests that wait.
-    pub fn take_spared(&mut self, tokens: u32) {
+    pub fn accept_zone_loan(&mut self, tokens: u32) {
         self.spared += tokens.min(self.waiting);
     }
 
     /// Takes what the pool has lent, in answer to `want`.
-    pub fn take_grant(&mut self, now: Instant, want: &TokenWant, grant: &TokenGrant) {
-        self.take_spared(grant.needed);
+    pub fn take_grant(&mut self, now: Instant, want: &TokenDemand, grant: &TokenGrant) {
+        self.accept_zone_loan(grant.needed);
         self.tokens += grant.ahead;
         self.lent = want.held + grant.ahead;
-        let dry = Duration::from_millis(grant.dry_ms.into());
+        let dry = Duration::from_millis(grant.retry_after_ms.into());
         self.dry = (!dry.is_zero()).then(|| Dry {
             until: now + dry.mul_f64(DRY_SHARE),
             all_served_at: now + dry,
--- a/crates/steering/src/route/allowance/leases.rs
+++ b/crates/steering/src/route/allowance/leases.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::GROUPS;
-use super::lease::{Lease, Take};
+use super::lease::{Lease, TakeResult};
 use super::membership::{Heard, Membership};
-use super::message::{Spared, TokenAsk, TokenGroup, TokenReply, TokenWant};
+use super::message::{TokenDemand, TokenGroup, TokenReply, TokenRequest, ZoneLoan};
 use crate::ids::{CustomerName, HostName};
 use crate::rendezvous;
 
@@ -17,11 +17,11 @@
 
 /// What a host does next about a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum LeaseStep {
     /// Nothing before this moment, unless a request waits.
-    Rest(Instant),
+    WaitUntil(Instant),
     /// It asks a host, which may be itself.
-    Ask(HostName, TokenAsk),
+    SendRequest(HostName, TokenRequest),
 }
 
 /// All tokens of a host.
@@ -48,8 +48,8 @@
     }
 
     /// Takes a token for a request that has come; one that must wait says so by
-    /// [`TokenLeases::again`] and [`TokenLeases::give_up`].
-    pub fn take(&mut self, now: Instant, customer: &str) -> Take {
+    /// [`TokenLeases::retry`] and [`TokenLeases::cancel_wait`].
+    pub fn take(&mut self, now: Instant, customer: &str) -> TakeResult {
         if !self.customers.contains_key(customer) {
             self.customers.insert(customer.to_owned(), Lease::default());
         }
@@ -57,21 +57,21 @@
         let lease = self.customers.get_mut(customer).expect("it is there");
         lease.came(now, 1);
         let taken = lease.try_take(now, is_good);
-        if taken == Take::Wait {
+        if taken == TakeResult::Wait {
             lease.wait();
         }
         taken
     }
 
     /// Tries again for a request that waits.
-    pub fn again(&mut self, now: Instant, customer: &str) -> Take {
+    pub fn retry(&mut self, now: Instant, customer: &str) -> TakeResult {
         let is_good = self.is_good(now, customer);
         let lease = self.customers.get_mut(customer);
-        lease.map_or(Take::Wait, |lease| lease.try_again(now, is_good))
+        lease.map_or(TakeResult::Wait, |lease| lease.try_again(now, is_good))
     }
 
     /// A request waits no more.
-    pub fn give_up(&mut self, customer: &str) {
+    pub fn cancel_wait(&mut self, customer: &str) {
         if let Some(lease) = self.customers.get_mut(customer) {
             lease.leave();
         }
@@ -98,11 +98,11 @@
 
     /// What to do about a group. `ranked` are the hosts that may keep its pool, this one
     /// among them, the first to be asked first.
-    pub fn step(&mut self, now: Instant, group: TokenGroup, ranked: &[&str]) -> Step {
+    pub fn step(&mut self, now: Instant, group: TokenGroup, ranked: &[&str]) -> LeaseStep {
         let spares = self.spares[usize::from(group)];
         let membership = &mut self.groups[usize::from(group)];
         let Some(question) = membership.next(now, ranked) else {
-            return Step::Rest(membership.counts_until);
+            return LeaseStep::WaitUntil(membership.counts_until);
         };
         membership.asks(&question);
         let is_member = question.confirms.is_some() && membership.is_owner(&question.host);
@@ -111,13 +111,13 @@
             true => self.wants(now, group, is_good, spares),
             false => Vec::new(),
         };
-        let ask = TokenAsk {
+        let ask = TokenRequest {
             group,
             confirms: question.confirms,
             leaves: question.leaves,
             wants,
         };
-        Step::Ask(question.host, ask)
+        LeaseStep::SendRequest(question.host, ask)
     }
 
     fn wants(
@@ -126,7 +126,7 @@
         group: TokenGroup,
         is_good: bool,
         spares: bool,
-    ) -> Vec<TokenWant> {
+    ) -> Vec<TokenDemand> {
         let customers = self.customers.iter_mut();
         let of_group = customers.filter(|(name, _)| group_of(name) == group);
         let wants = of_group.filter_map(|(name, lease)| {
@@ -145,7 +145,7 @@
         now: Instant,
         asked: Instant,
         host: &str,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         reply: &TokenReply,
     ) -> bool {
         let membership = &mut self.groups[usize::from(ask.group)];
@@ -175,7 +175,7 @@
     }
 
     /// Notes whether other hosts of the zone ask this one first for a group's tokens.
-    pub fn set_spares(&mut self, group: TokenGroup, spares: bool) {
+    pub fn set_zone_lender(&mut self, group: TokenGroup, spares: bool) {
         self.spares[usize::from(group)] = spares;
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Gives tokens to requests that wait at another host of the zone.
-    pub fn spare(&mut self, now: Instant, customer: &str, need: u32) -> Spared {
+    pub fn lend_to_zone(&mut self, now: Instant, customer: &str, need: u32) -> ZoneLoan {
         let good_until = self.groups[usize::from(group_of(customer))].good_until;
         let good_for = good_until.saturating_duration_since(now);
         let lease = self.customers.entry(customer.to_owned()).or_default();
@@ -198,7 +198,7 @@
             true => 0,
             false => lease.give(need),
         };
-        Spared {
+        ZoneLoan {
             tokens,
             good_for_ms: good_for.as_millis() as u32,
         }
@@ -206,19 +206,19 @@
 
     /// Takes what another host of the zone has spared, of which it was asked at `asked`: each
     /// is for one request that waits. True where that is all that they need.
-    pub fn take_spared(
+    pub fn accept_zone_loan(
         &mut self,
         now: Instant,
         asked: Instant,
         customer: &str,
-        spared: &Spared,
+        spared: &ZoneLoan,
     ) -> bool {
         let Some(lease) = self.customers.get_mut(customer) else {
             return true;
         };
         let good_until = asked + Duration::from_millis(spared.good_for_ms.into());
         if now < good_until {
-            lease.take_spared(spared.tokens);
+            lease.accept_zone_loan(spared.tokens);
         }
         lease.lacking() == 0
     }
--- a/crates/steering/src/route/allowance/membership.rs
+++ b/crates/steering/src/route/allowance/membership.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::MEMBER_FOR;
-use super::message::Stamp;
+use super::message::PoolTime;
 use crate::ids::HostName;
 
 /// Time after which a host that did not answer, or keeps no pool, is asked again.
@@ -29,7 +29,7 @@
 /// An answer of a host.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Heard {
-    pub stamp: Stamp,
+    pub stamp: PoolTime,
     pub asked: Instant,
     pub answered: Instant,
 }
@@ -79,7 +79,7 @@
     }
 
     /// The last stamp of a host, where it is young enough to be confirmed.
-    fn stamp(&self, now: Instant, host: &str) -> Option<Stamp> {
+    fn stamp(&self, now: Instant, host: &str) -> Option<PoolTime> {
         let heard = self.heard.get(host)?;
         (now < heard.asked + MEMBER_FOR).then_some(heard.stamp)
     }
@@ -126,7 +126,7 @@
 
     /// Takes the stamp of an answer to a question that confirmed `confirms`; true where this
     /// host's part counts by it, so that what it grants holds.
-    pub fn stamped(&mut self, host: &str, heard: Heard, confirms: Option<Stamp>) -> bool {
+    pub fn stamped(&mut self, host: &str, heard: Heard, confirms: Option<PoolTime>) -> bool {
         let now = heard.answered;
         let before = self.heard.insert(host.to_owned(), heard);
         let Some(confirms) = confirms.filter(|_| self.is_owner(host)) else {
@@ -151,14 +151,14 @@
 #[derive(Debug)]
 pub(super) struct Question {
     pub host: HostName,
-    /// Stamp of its last answer; none where it is only to be heard whether it answers.
-    pub confirms: Option<Stamp>,
+    /// Time of its last answer; none where it is only to be heard whether it answers.
+    pub confirms: Option<PoolTime>,
     /// Whether this host's part is to count there no more.
     pub leaves: bool,
 }
 
 impl Question {
-    fn join(host: HostName, confirms: Option<Stamp>) -> Self {
+    fn join(host: HostName, confirms: Option<PoolTime>) -> Self {
         Question {
             host,
             confirms,
--- a/crates/steering/src/route/allowance/message.rs
+++ b/crates/steering/src/route/allowance/message.rs
@@ -9,7 +9,7 @@
 
 /// A moment of a pool's own steady clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct PoolTime {
     /// Start of the pool's host.
     pub incarnation: Incarnation,
     /// Time since the pool began, in microseconds.
@@ -18,21 +18,21 @@
 
 /// A host's question to the host of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// The group of customers.
     pub group: TokenGroup,
-    /// Stamp of the last answer. With it the asker's part counts in this pool; without it
+    /// Time of the last answer. With it the asker's part counts in this pool; without it
     /// the asker only wants to hear whether there is one.
-    pub confirms: Option<Stamp>,
+    pub confirms: Option<PoolTime>,
     /// Whether the asker's part is to count here no more.
     pub leaves: bool,
     /// For whom tokens are wanted or given back.
-    pub wants: Vec<TokenWant>,
+    pub wants: Vec<TokenDemand>,
 }
 
 /// Tokens that a host nearby can spare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spared {
+pub struct ZoneLoan {
     /// How many.
     pub tokens: u32,
     /// Time for which they are good, in milliseconds.
@@ -41,7 +41,7 @@
 
 /// Tokens that a host wants for a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TokenWant {
+pub struct TokenDemand {
     /// The customer.
     pub customer: CustomerName,
     /// Tokens that the host still holds; all others that were lent to it are spent.
@@ -52,10 +52,10 @@
     pub ahead: u32,
 }
 
-impl TokenWant {
+impl TokenDemand {
     /// The same, without tokens that would be held for requests to come.
-    pub(super) fn without_ahead(&self) -> TokenWant {
-        TokenWant {
+    pub(super) fn without_ahead(&self) -> TokenDemand {
+        TokenDemand {
             ahead: 0,
             ..self.clone()
         }
@@ -68,14 +68,15 @@
     /// The host keeps a pool for the group.
     Granted {
         /// Moment of the answer.
-        stamp: Stamp,
+        stamp: PoolTime,
         /// In the order of the wants.
         grants: Vec<TokenGrant>,
     },
     /// The host keeps none, and counts the asker's part no more.
     NoPool,
     /// What it spares, in the order of the question.
-    Spared(Vec<Spared>),
+    #[serde(rename = "Spared")]
+    ZoneLoans(Vec<ZoneLoan>),
 }
 
 /// Tokens lent to a host.
@@ -87,5 +88,6 @@
     pub ahead: u32,
     /// Time after which there is one for each request that waits, in milliseconds; 0 where
     /// all that was needed was lent.
-    pub dry_ms: u32,
+    #[serde(rename = "dry_ms")]
+    pub retry_after_ms: u32,
 }
--- a/crates/steering/src/route/allowance/mod.rs
+++ b/crates/steering/src/route/allowance/mod.rs
@@ -17,10 +17,12 @@
 mod message;
 mod pool;
 
-pub use bound::{AllowanceTerms, TokenBound};
-pub use lease::Take;
-pub use leases::{Step, TokenLeases, group_of};
-pub use message::{Spared, Stamp, TokenAsk, TokenGrant, TokenGroup, TokenReply, TokenWant};
+pub use bound::{AllowanceTolerance, TokenBound};
+pub use lease::TakeResult;
+pub use leases::{LeaseStep, TokenLeases, group_of};
+pub use message::{
+    PoolTime, TokenDemand, TokenGrant, TokenGroup, TokenReply, TokenRequest, ZoneLoan,
+};
 pub use pool::TokenPool;
 
 use std::time::Duration;
--- a/crates/steering/src/route/allowance/pool.rs
+++ b/crates/steering/src/route/allowance/pool.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::bound::TokenBound;
-use super::message::{Stamp, TokenAsk, TokenGrant, TokenGroup, TokenReply, TokenWant};
+use super::message::{PoolTime, TokenDemand, TokenGrant, TokenGroup, TokenReply, TokenRequest};
 use super::{GROUPS, MEMBER_FOR};
 use crate::ids::{CustomerName, HostName, Incarnation};
 
@@ -64,7 +64,13 @@
             .max(0.0);
     }
 
-    fn lend(&mut self, from: &str, want: &TokenWant, share: f64, bound: &TokenBound) -> TokenGrant {
+    fn lend(
+        &mut self,
+        from: &str,
+        want: &TokenDemand,
+        share: f64,
+        bound: &TokenBound,
+    ) -> TokenGrant {
         let needed = (self.free.floor() as u32).min(want.need);
         let spare = self.free - f64::from(needed) - bound.depth * share * KEPT_SHARE;
         let ahead = (spare.max(0.0).floor() as u32).min(want.ahead);
@@ -73,12 +79,12 @@
         TokenGrant {
             needed,
             ahead,
-            dry_ms: self.dry_ms(want.need - needed, bound.per_s * share),
+            retry_after_ms: self.retry_after_ms(want.need - needed, bound.per_s * share),
         }
     }
 
     /// Time until as many more tokens have come up as are lacking.
-    fn dry_ms(&self, lacking: u32, per_s: f64) -> u32 {
+    fn retry_after_ms(&self, lacking: u32, per_s: f64) -> u32 {
         if lacking == 0 {
             return 0;
         }
@@ -122,7 +128,7 @@
     }
 
     /// Lends to a member what it wants, where there is so much.
-    fn lend(&mut self, from: &str, want: &TokenWant, bound: &TokenBound) -> TokenGrant {
+    fn lend(&mut self, from: &str, want: &TokenDemand, bound: &TokenBound) -> TokenGrant {
         let bucket = self.buckets.entry(want.customer.clone()).or_default();
         bucket.lent.insert(from.to_owned(), want.held);
         bucket.settle(&self.members, self.come_up_s, self.share, bound);
@@ -158,12 +164,12 @@
     /// while they are not known. `counts` tells whether the asker is one of them: else it gets
     /// tokens of the others for requests that wait, and adds none. `bound` is a customer's
     /// bucket; none where it has no bound, or is not known.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Instant,
         from: &str,
         counts: bool,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         hosts: Option<usize>,
         bound: &dyn Fn(&str) -> Option<TokenBound>,
     ) -> TokenReply {
@@ -174,7 +180,7 @@
             return TokenReply::NoPool;
         };
         let since_start = now.saturating_duration_since(self.started);
-        let stamp = Stamp {
+        let stamp = PoolTime {
             incarnation: self.incarnation,
             at_us: since_start.as_micros() as u64,
         };
@@ -207,13 +213,13 @@
         let is_member = group.members.contains_key(from);
         let is_guest = joins.is_some() && !counts;
         let lends = is_member || is_guest;
-        let lend = |want: &TokenWant| match bound(&want.customer).filter(|_| lends) {
+        let lend = |want: &TokenDemand| match bound(&want.customer).filter(|_| lends) {
             Some(bound) if is_member => group.lend(from, want, &bound),
             Some(bound) => group.lend(from, &want.without_ahead(), &bound),
             None => TokenGrant {
                 needed: 0,
                 ahead: 0,
-                dry_ms: 0,
+                retry_after_ms: 0,
             },
         };
         TokenReply::Granted {
@@ -230,7 +236,7 @@
     }
 
     /// Until when the asker's part counts by this question.
-    fn counts_until(&self, ask: &TokenAsk) -> Option<Instant> {
+    fn counts_until(&self, ask: &TokenRequest) -> Option<Instant> {
         let confirmed = ask.confirms?;
         let is_own = confirmed.incarnation == self.incarnation;
         is_own.then(|| self.started + Duration::from_micros(confirmed.at_us) + MEMBER_FOR)
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -12,7 +12,7 @@
 use super::view::{RegionPool, Upstream};
 use super::wish::Wish;
 use crate::ids::HostName;
-use crate::statement::{LimitHeard, Obstacle};
+use crate::statement::{KnownLimit, Obstacle};
 
 /// Wait at an object's home, as a share of its goal, up to which it is sent there. Work
 /// at an upstream that does not hold the object takes three times as long, and makes
@@ -56,13 +56,13 @@
     pub fn barred(&self, now: Instant) -> Option<Obstacle> {
         let condition = self.upstream.condition();
         let obstacle = condition.obstacle(now);
-        let barring = obstacle.filter(|obstacle| obstacle.bars_chosen());
+        let barring = obstacle.filter(|obstacle| obstacle.blocks_chosen_request());
         let lacks_token = !self.has_token && condition.stated.limit_heard(now).is_some();
-        barring.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
+        barring.or(lacks_token.then_some(Obstacle::LimitExhausted(Duration::ZERO)))
     }
 
     /// The limit of which the request needs a token before it is sent.
-    pub fn limit(&self, now: Instant) -> Option<LimitHeard> {
+    pub fn limit(&self, now: Instant) -> Option<KnownLimit> {
         self.upstream.condition().stated.limit_heard(now)
     }
 
--- a/crates/steering/src/route/condition.rs
+++ b/crates/steering/src/route/condition.rs
@@ -7,8 +7,8 @@
 use super::holding::Holding;
 use super::pace::ColdPart;
 use super::speed::Speed;
-use super::suspect::Abandoned;
-use crate::statement::{Obstacle, Stated};
+use super::suspect::AbandonedRequests;
+use crate::statement::{ActiveStatements, Obstacle};
 
 /// Time for which a report of load is believed.
 const REPORT_HOLDS: Duration = Duration::from_secs(2);
@@ -42,9 +42,9 @@
     /// Whether another start has its address.
     replaced: bool,
     /// Requests that it was sent and that were given up.
-    pub abandoned: Abandoned,
+    pub abandoned: AbandonedRequests,
     /// What it has said of itself.
-    pub stated: Stated,
+    pub stated: ActiveStatements,
     /// How much longer than usual it takes.
     pub speed: Speed,
     /// What this host has lately sent it.
--- a/crates/steering/src/route/host_message.rs
+++ b/crates/steering/src/route/host_message.rs
@@ -2,22 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::allowance::{TokenAsk, TokenReply};
-use super::limit::{LimitAsk, LimitReply};
-use super::suspect::{WorkDigest, WorkNews, WorkState};
+use super::allowance::{TokenReply, TokenRequest};
+use super::limit::{LimitReply, LimitTokenRequest};
+use super::suspect::{WorkDigest, WorkState, WorkUpdate};
 use crate::ids::CustomerName;
 
 /// A question, or news.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HostMessage {
     /// To the host of a pool of allowances.
-    Tokens(TokenAsk),
+    Tokens(TokenRequest),
     /// To a host nearby: tokens that requests wait for, by customer. They are spent at once.
     Spare(Vec<(CustomerName, u32)>),
     /// To a host that holds a part of an upstream's limit.
-    Limit(LimitAsk),
+    Limit(LimitTokenRequest),
     /// To all hosts: what is learned of work under which upstreams end.
-    Works(Vec<WorkNews>),
+    Works(Vec<WorkUpdate>),
     /// To another host: what this one may have missed of such work, by the digest of what it
     /// knows.
     MissedWorks(WorkDigest),
--- a/crates/steering/src/route/limit/asks.rs
+++ b/crates/steering/src/route/limit/asks.rs
@@ -16,14 +16,14 @@
 
 /// What a host knows of the holders that it asks for tokens.
 #[derive(Debug, Default)]
-pub struct LimitAsks {
+pub struct HolderSelector {
     /// Until when a holder has no token of a start.
     put_off: HashMap<(String, HostName), Instant>,
     /// When each holder was last asked.
     asked: HashMap<HostName, Instant>,
 }
 
-impl LimitAsks {
+impl HolderSelector {
     /// The holder to ask for a token of `start`: this host itself where it is one, else one
     /// after the other, hosts beginning at different ones.
     ///
@@ -62,8 +62,8 @@
     pub fn answered(&mut self, now: Instant, start: &str, holder: &str, reply: Option<LimitReply>) {
         let wait = match reply {
             Some(LimitReply::Granted) => return,
-            Some(LimitReply::Dry(ms)) => Duration::from_millis(ms.into()),
-            Some(LimitReply::NoPart) | None => PASSED_OVER_FOR,
+            Some(LimitReply::Exhausted(ms)) => Duration::from_millis(ms.into()),
+            Some(LimitReply::NotAHolder) | None => PASSED_OVER_FOR,
         };
         let key = (start.to_owned(), holder.to_owned());
         self.put_off.insert(key, now + wait);
--- a/crates/steering/src/route/limit/holders.rs
+++ b/crates/steering/src/route/limit/holders.rs
@@ -3,7 +3,7 @@
 use crate::rendezvous;
 
 /// Holders of a limit at most. Fewer, and a lost host would take much of it away.
-pub const HOLDERS_MOST: usize = 4;
+pub const MAX_HOLDERS: usize = 4;
 /// Holders at least, where there are as many hosts: one may be lost.
 const HOLDERS_LEAST: usize = 2;
 /// Least part of a holder, in requests a second. With less each would wait long for its first
@@ -19,6 +19,6 @@
 ) -> Vec<&'a str> {
     let wanted = (per_s / PART_LEAST_PER_S) as usize;
     let mut ranked = rendezvous::rank(start, hosts);
-    ranked.truncate(wanted.clamp(HOLDERS_LEAST, HOLDERS_MOST));
+    ranked.truncate(wanted.clamp(HOLDERS_LEAST, MAX_HOLDERS));
     ranked
 }
--- a/crates/steering/src/route/limit/mod.rs
+++ b/crates/steering/src/route/limit/mod.rs
@@ -12,8 +12,8 @@
 mod part;
 mod tokens;
 
-pub use asks::LimitAsks;
-pub use holders::{HOLDERS_MOST, holders};
-pub use message::{LimitAsk, LimitReply};
-pub use part::{LimitTerms, limit_part};
-pub use tokens::{LimitTokens, PartChange};
+pub use asks::HolderSelector;
+pub use holders::{MAX_HOLDERS, holders};
+pub use message::{LimitReply, LimitTokenRequest};
+pub use part::{LimitTolerance, holder_share};
+pub use tokens::{LimitTokens, ShareChange};
--- a/crates/steering/src/route/limit/tokens.rs
+++ b/crates/steering/src/route/limit/tokens.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::message::{LimitAsk, LimitReply};
-use super::part::{LimitTerms, limit_part};
+use super::message::{LimitReply, LimitTokenRequest};
+use super::part::{LimitTolerance, holder_share};
 use crate::ids::HostName;
 use crate::route::allowance::TokenBound;
 
@@ -31,7 +31,7 @@
 
 impl Bucket {
     /// With no token: an earlier start of this host may have given some away a moment ago.
-    fn new(now: Instant, ask: &LimitAsk) -> Self {
+    fn new(now: Instant, ask: &LimitTokenRequest) -> Self {
         Bucket {
             per_s: ask.per_s,
             heard: now.checked_sub(ask.age()).unwrap_or(now),
@@ -48,7 +48,13 @@
 
     /// Counts what has come up, and takes the limit where the asker has heard it later; true
     /// where the part is another one now.
-    fn settle(&mut self, now: Instant, ask: &LimitAsk, holders: usize, terms: &LimitTerms) -> bool {
+    fn settle(
+        &mut self,
+        now: Instant,
+        ask: &LimitTokenRequest,
+        holders: usize,
+        terms: &LimitTolerance,
+    ) -> bool {
         let passed = now.saturating_duration_since(self.counted);
         self.free += passed.as_secs_f64() * self.part.per_s;
         self.counted = now;
@@ -56,7 +62,7 @@
         if heard > self.heard {
             (self.per_s, self.heard) = (ask.per_s, heard);
         }
-        let part = limit_part(self.per_s, holders, terms);
+        let part = holder_share(self.per_s, holders, terms);
         let is_other = part != self.part;
         (self.holders, self.part) = (holders, part);
         self.free = self.free.min(part.depth);
@@ -73,7 +79,7 @@
         }
         let wait = self.promise(now, needed - self.free);
         self.promised.insert(asker.to_owned(), now + wait);
-        LimitReply::Dry(wait.as_millis() as u32)
+        LimitReply::Exhausted(wait.as_millis() as u32)
     }
 
     /// Time until there are `lacking` tokens more than others are promised: who is told to
@@ -89,13 +95,13 @@
 
 /// A part that is new, or has changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PartChange {
+pub struct ShareChange {
     /// The limit, in requests a second.
     pub per_s: f64,
     /// Hosts that hold parts of it.
     pub holders: usize,
     /// This host's part.
-    pub part: TokenBound,
+    pub share: TokenBound,
 }
 
 /// All parts of limits that a host holds.
@@ -112,18 +118,18 @@
         &mut self,
         now: Instant,
         asker: &str,
-        ask: &LimitAsk,
+        ask: &LimitTokenRequest,
         holders: usize,
-        terms: &LimitTerms,
-    ) -> (LimitReply, Option<PartChange>) {
+        terms: &LimitTolerance,
+    ) -> (LimitReply, Option<ShareChange>) {
         self.prune(now);
         let bucket = self.buckets.entry(ask.start());
         let bucket = bucket.or_insert_with(|| Bucket::new(now, ask));
         let has_changed = bucket.settle(now, ask, holders, terms);
-        let change = has_changed.then_some(PartChange {
+        let change = has_changed.then_some(ShareChange {
             per_s: bucket.per_s,
             holders: bucket.holders,
-            part: bucket.part,
+            share: bucket.part,
         });
         (bucket.take(now, asker, ask.urgency), change)
     }
--- a/crates/steering/src/route/mod.rs
+++ b/crates/steering/src/route/mod.rs
@@ -44,8 +44,9 @@
 mod zone_condition;
 
 pub use allowance::{
-    AllowanceTerms, GROUPS, KEEP_ALIVE, Spared, Stamp, Step, Take, TokenAsk, TokenBound,
-    TokenGrant, TokenGroup, TokenLeases, TokenPool, TokenReply, TokenWant, group_of,
+    AllowanceTolerance, GROUPS, KEEP_ALIVE, LeaseStep, PoolTime, TakeResult, TokenBound,
+    TokenDemand, TokenGrant, TokenGroup, TokenLeases, TokenPool, TokenReply, TokenRequest,
+    ZoneLoan, group_of,
 };
 pub use catalog::{Catalog, CatalogChange};
 pub use choice::{Choice, choose};
@@ -66,8 +67,8 @@
 pub use key_hash::KeyHash;
 pub use lead::{Lead, Use};
 pub use limit::{
-    HOLDERS_MOST, LimitAsk, LimitAsks, LimitReply, LimitTerms, LimitTokens, PartChange, holders,
-    limit_part,
+    HolderSelector, LimitReply, LimitTokenRequest, LimitTokens, LimitTolerance, MAX_HOLDERS,
+    ShareChange, holder_share, holders,
 };
 pub use news_timing::{
     HOST_ANSWER_LIMIT, LAPSES_TOLD_WITHIN, NewsTiming, STORE_CALL_LIMIT, pause_most,
@@ -83,8 +84,8 @@
 pub use spread::{PartSpread, RegionSpread, share_by_room};
 pub use store_answers::{Answering, StoreAnswers};
 pub use suspect::{
-    Abandoned, Admission, ENDS_REFUSED, RefusedWork, Suspects, WorkDigest, WorkIdentity, WorkKey,
-    WorkNews, WorkParts, WorkRank, WorkState, WorkTold,
+    AbandonedRequests, Admission, CRASHES_TO_REFUSE, RefusedWork, Suspects, WorkDigest, WorkEvent,
+    WorkIdentity, WorkKey, WorkParts, WorkRank, WorkState, WorkUpdate,
 };
 pub use table::RouteTable;
 pub use upstream::{ReportedUpstream, UpstreamId};
--- a/crates/steering/src/route/no_room.rs
+++ b/crates/steering/src/route/no_room.rs
@@ -111,12 +111,12 @@
         if self.named.len() < NAMED_MOST && obstacle.is_stated() {
             self.named.push(upstream.report.id.clone());
         }
-        if let Obstacle::Limits(wait) = obstacle {
+        if let Obstacle::LimitExhausted(wait) = obstacle {
             self.add_limited(upstream, wait, homes);
         }
         let rest = match obstacle {
             Obstacle::Rests(rest) => rest,
-            Obstacle::Returns => Duration::ZERO,
+            Obstacle::TrialPending => Duration::ZERO,
             _ => return,
         };
         if self.resting < homes {
@@ -127,7 +127,7 @@
 
     fn add_limited(&mut self, upstream: &Upstream, wait: Duration, homes: usize) {
         if self.limited < homes && self.limit.is_none_or(|known| wait < known.wait) {
-            let spread = upstream.condition().stated.limit_turns_away();
+            let spread = upstream.condition().stated.limit_refused_request();
             self.limit = Some(NextToken { wait, spread });
         }
         self.limited += 1;
--- a/crates/steering/src/route/suspect/abandoned.rs
+++ b/crates/steering/src/route/suspect/abandoned.rs
@@ -21,9 +21,9 @@
 /// The requests that one start of an upstream received and that were abandoned before the answer,
 /// ordered by the time of abandonment.
 #[derive(Debug, Default)]
-pub struct Abandoned(VecDeque<AbandonedRequest>);
+pub struct AbandonedRequests(VecDeque<AbandonedRequest>);
 
-impl Abandoned {
+impl AbandonedRequests {
     /// Records a request that was sent at `sent` and is abandoned at `now`.
     pub fn note(&mut self, now: Instant, work: WorkIdentity, sent: Instant) {
         let is_expired = |first: &AbandonedRequest| {
--- a/crates/steering/src/route/suspect/mod.rs
+++ b/crates/steering/src/route/suspect/mod.rs
@@ -8,9 +8,9 @@
 mod suspicion;
 mod work;
 
-pub use abandoned::Abandoned;
-pub use news::{WorkNews, WorkTold};
+pub use abandoned::AbandonedRequests;
+pub use news::{WorkEvent, WorkUpdate};
 pub use state::{WorkDigest, WorkRank, WorkState};
 pub use suspects::{Admission, RefusedWork, Suspects};
-pub use suspicion::ENDS_REFUSED;
+pub use suspicion::CRASHES_TO_REFUSE;
 pub use work::{WorkIdentity, WorkKey, WorkParts};
--- a/crates/steering/src/route/suspect/suspects.rs
+++ b/crates/steering/src/route/suspect/suspects.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::news::WorkTold;
+use super::news::WorkEvent;
 use super::state::{WorkDigest, WorkState, digest, instant_before};
 use super::suspicion::Suspicion;
 use super::work::{WorkIdentity, WorkKey};
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// No crashes are known that would restrict it.
-    Free,
+    Unrestricted,
     /// It is sent as the one trial request.
     Trial,
     /// It is not sent; the work may be tried again after this time.
@@ -39,7 +39,7 @@
     /// Key of the request or object.
     pub work: WorkKey,
     /// Consecutive crashes of upstreams.
-    pub ends: u32,
+    pub crashes: u32,
     /// Time until this host admits a trial.
     pub refused_for: Duration,
 }
@@ -70,7 +70,7 @@
     /// Decides on a new request. The caller announces a [`Admission::Trial`] to the other hosts.
     pub fn admit(&mut self, now: Instant, work: WorkIdentity) -> Admission {
         let jitter = self.jitter;
-        let mut admission = Admission::Free;
+        let mut admission = Admission::Unrestricted;
         for key in work.keys() {
             let Some(suspicion) = self.suspicions.get(&key) else {
                 continue;
@@ -106,7 +106,7 @@
     }
 
     /// Records that another host has sent its whole state.
-    pub fn compared(&mut self, now: Instant) {
+    pub fn note_synced(&mut self, now: Instant) {
         self.last_sync_at = Some(now);
     }
 
@@ -117,20 +117,25 @@
 
     /// Whether a request may be retried after its upstream crashed. A single crash is most often
     /// another request's fault; after two, a retry would probably crash a third upstream.
-    pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
+    pub fn may_be_retried(&self, work: WorkIdentity) -> bool {
         let mut suspicions = work.keys().filter_map(|key| self.suspicions.get(&key));
         suspicions.all(|suspicion| !suspicion.is_refused())
     }
 
     /// Crashes known of a request and of its object, added up.
-    pub fn ends_of(&self, work: WorkIdentity) -> u32 {
-        work.keys().map(|key| self.ends(key)).sum()
+    pub fn crash_count_of(&self, work: WorkIdentity) -> u32 {
+        work.keys().map(|key| self.crash_count(key)).sum()
     }
 
-    /// How long a request that was admitted with `ends` known crashes may not be sent any more,
+    /// How long a request that was admitted with `known_crashes` crashes may not be sent any more,
     /// because its work was refused since, or has crashed another upstream.
-    pub fn barred_for(&self, now: Instant, work: WorkIdentity, ends: u32) -> Option<Duration> {
-        if self.may_be_repeated(work) || self.ends_of(work) <= ends {
+    pub fn blocked_for(
+        &self,
+        now: Instant,
+        work: WorkIdentity,
+        known_crashes: u32,
+    ) -> Option<Duration> {
+        if self.may_be_retried(work) || self.crash_count_of(work) <= known_crashes {
             return None;
         }
         let suspicions = work.keys().filter_map(|key| self.suspicions.get(&key));
@@ -143,21 +148,21 @@
 
     /// Applies an event that this host saw or another host reported; true if it is new, and other
     /// hosts should be told.
-    pub fn take(&mut self, now: Instant, work: WorkIdentity, told: WorkTold) -> bool {
+    pub fn apply(&mut self, now: Instant, work: WorkIdentity, event: WorkEvent) -> bool {
         let at = |age_ms| instant_before(now, age_ms);
-        match told {
-            WorkTold::Ended {
+        match event {
+            WorkEvent::Crashed {
                 start,
                 sent_ms,
-                ended_ms,
-            } => self.record_crash(now, work, start, at(sent_ms), at(ended_ms)),
-            WorkTold::Answered { sent_ms } => self.record_answer(now, work, at(sent_ms)),
-            WorkTold::Refused => {
+                crashed_ms,
+            } => self.record_crash(now, work, start, at(sent_ms), at(crashed_ms)),
+            WorkEvent::Answered { sent_ms } => self.record_answer(now, work, at(sent_ms)),
+            WorkEvent::Refused => {
                 self.suspicion_mut(now, work.request, now).refuse(now);
                 true
             }
-            WorkTold::Cleared => self.clear(now, work.request),
-            WorkTold::Tried => self.record_trial(now, work),
+            WorkEvent::Cleared => self.clear(now, work.request),
+            WorkEvent::TrialStarted => self.record_trial(now, work),
         }
     }
 
@@ -272,7 +277,7 @@
     }
 
     /// Crashes known of a request or an object, for the log.
-    pub fn ends(&self, key: WorkKey) -> u32 {
+    pub fn crash_count(&self, key: WorkKey) -> u32 {
         self.suspicions
             .get(&key)
             .map_or(0, |suspicion| suspicion.crashes)
@@ -286,7 +291,7 @@
             let is_refused = suspicion.is_refused() && !refused_for.is_zero();
             is_refused.then_some(RefusedWork {
                 work: *work,
-                ends: suspicion.crashes,
+                crashes: suspicion.crashes,
                 refused_for,
             })
         });
--- a/crates/steering/src/route/suspect/suspicion.rs
+++ b/crates/steering/src/route/suspect/suspicion.rs
@@ -8,7 +8,7 @@
 /// Number of crashes from which on the work is sent only as a trial. A single crash proves little,
 /// since any other request in flight at the upstream may have caused it. Innocent requests are
 /// answered by another upstream before a second crash.
-pub const ENDS_REFUSED: u32 = 2;
+pub const CRASHES_TO_REFUSE: u32 = 2;
 /// Refusal time after the second crash. It exceeds an upstream's restart time, because the trial
 /// that follows may crash the next upstream.
 const BASE_REFUSAL: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
 /// fixed the fault can clear the work without waiting.
 const MAX_REFUSAL: Duration = Duration::from_secs(3_600);
 /// Number of crashes assumed for work that an operator orders to be refused.
-const OPERATOR_REFUSAL_CRASHES: u32 = ENDS_REFUSED + 3;
+const OPERATOR_REFUSAL_CRASHES: u32 = CRASHES_TO_REFUSE + 3;
 /// Consecutive answers after which refused work is served again. One answer is not enough, since
 /// requests for the same object may differ and some of them be harmless.
 const ANSWERS_TO_CLEAR: u32 = 3;
@@ -43,7 +43,7 @@
 pub(super) struct Suspicion {
     /// Hashes of the latest upstream starts that crashed while running this work.
     starts: Vec<u64>,
-    /// For an object: requests for it that became refused since its last answer, [`ENDS_REFUSED`]
+    /// For an object: requests for it that became refused since its last answer, [`CRASHES_TO_REFUSE`]
     /// at most. Empty for a request.
     refused_requests: Vec<WorkKey>,
     /// Consecutive crashes. Requests that were in flight at several upstreams when all of them
@@ -81,13 +81,13 @@
 
     /// Whether the work is sent only as a trial.
     pub fn is_refused(&self) -> bool {
-        self.crashes >= ENDS_REFUSED
+        self.crashes >= CRASHES_TO_REFUSE
     }
 
     /// How long the work is refused after its last crash; `jitter` is a constant of this host from
     /// 0 to 1.
     pub fn refused_for(&self, jitter: f64) -> Duration {
-        let Some(more) = self.crashes.checked_sub(ENDS_REFUSED) else {
+        let Some(more) = self.crashes.checked_sub(CRASHES_TO_REFUSE) else {
             return Duration::ZERO;
         };
         let times = REFUSAL_MULTIPLIER.saturating_pow(more);
@@ -131,7 +131,7 @@
         // The third crash counts even if the work was sent before the second one: among three
         // crashes one coincidence is likely, two are not.
         let is_third_crash =
-            self.crashes == ENDS_REFUSED && self.starts.len() > ENDS_REFUSED as usize;
+            self.crashes == CRASHES_TO_REFUSE && self.starts.len() > CRASHES_TO_REFUSE as usize;
         if self.crashes == 0 || is_third_crash || sent_at >= self.last_crash_at {
             self.crashes += 1;
             self.record_crash(crashed_at);
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -199,7 +199,7 @@
             let condition = upstream.condition();
             counts.limiting += usize::from(condition.stated.limit_heard(now).is_some());
             match condition.obstacle(now) {
-                Some(Obstacle::Rests(_) | Obstacle::Returns) => counts.resting += 1,
+                Some(Obstacle::Rests(_) | Obstacle::TrialPending) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
                 _ => {}
             }
--- a/crates/steering/src/statement/answer.rs
+++ b/crates/steering/src/statement/answer.rs
@@ -24,56 +24,56 @@
     /// Whether the upstream leaves: it is to get no more work.
     pub leaves: bool,
     /// For how long it wants nothing from this host; none where it does not say so.
-    pub rest: Option<RestAsked>,
+    pub rest: Option<RequestedRest>,
     /// How much it takes from all hosts together; none where it names no limit.
-    pub limit: Option<LimitNamed>,
+    pub limit: Option<RequestedLimit>,
 }
 
 /// A limit that an upstream names: requests a second from all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum LimitNamed {
+pub enum RequestedLimit {
     /// So many, not negative.
     PerSecond(f64),
     /// A number that can't be read.
     Unreadable,
 }
 
-impl LimitNamed {
+impl RequestedLimit {
     /// Requests a second that it gets; none where the limit binds nobody.
     pub fn granted(self) -> Option<f64> {
         match self {
-            LimitNamed::PerSecond(per_s) if per_s >= LIMIT_MOST_PER_S => None,
-            LimitNamed::PerSecond(per_s) => Some(per_s.max(LIMIT_LEAST_PER_S)),
-            LimitNamed::Unreadable => Some(LIMIT_UNREADABLE_PER_S),
+            RequestedLimit::PerSecond(per_s) if per_s >= LIMIT_MOST_PER_S => None,
+            RequestedLimit::PerSecond(per_s) => Some(per_s.max(LIMIT_LEAST_PER_S)),
+            RequestedLimit::Unreadable => Some(LIMIT_UNREADABLE_PER_S),
         }
     }
 
     /// Whether it is kept as it was named.
-    pub fn is_granted_whole(self) -> bool {
-        matches!(self, LimitNamed::PerSecond(per_s) if self.granted() == Some(per_s))
+    pub fn is_granted_in_full(self) -> bool {
+        matches!(self, RequestedLimit::PerSecond(per_s) if self.granted() == Some(per_s))
     }
 }
 
 /// A rest that an upstream asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RestAsked {
+pub enum RequestedRest {
     /// For this long from the answer on, whatever that is.
     For(Duration),
     /// For a time that can't be read.
     Unreadable,
 }
 
-impl RestAsked {
+impl RequestedRest {
     /// The rest that it gets: an hour at most, a second where it can't be read.
     pub fn granted(self) -> Duration {
         match self {
-            RestAsked::For(time) => time.min(REST_MOST),
-            RestAsked::Unreadable => REST_UNREADABLE,
+            RequestedRest::For(time) => time.min(REST_MOST),
+            RequestedRest::Unreadable => REST_UNREADABLE,
         }
     }
 
     /// Whether it gets what it asked for.
-    pub fn is_granted_whole(self) -> bool {
-        matches!(self, RestAsked::For(time) if time <= REST_MOST)
+    pub fn is_granted_in_full(self) -> bool {
+        matches!(self, RequestedRest::For(time) if time <= REST_MOST)
     }
 }
--- a/crates/steering/src/statement/mod.rs
+++ b/crates/steering/src/statement/mod.rs
@@ -4,6 +4,6 @@
 mod obstacle;
 mod stated;
 
-pub use answer::{LimitNamed, RestAsked, Statement};
+pub use answer::{RequestedLimit, RequestedRest, Statement};
 pub use obstacle::Obstacle;
-pub use stated::{LimitChange, LimitHeard, Stated};
+pub use stated::{ActiveStatements, KnownLimit, LimitChange};
--- a/crates/steering/src/statement/obstacle.rs
+++ b/crates/steering/src/statement/obstacle.rs
@@ -19,10 +19,10 @@
     Rests(Duration),
     /// Its rest is over, and the first request after it is not answered yet.
     #[display("returns")]
-    Returns,
+    TrialPending,
     /// It names a limit, and no host that holds a part of it has a token for so much longer.
     #[display("limits")]
-    Limits(Duration),
+    LimitExhausted(Duration),
     /// It has failed lately.
     #[display("failed")]
     Failed,
@@ -40,7 +40,7 @@
     /// Whether it also bars a request that was chosen before, and has waited for a connection
     /// since. The first request after a rest is such a one itself, and one that has a token
     /// may go though there is none for others.
-    pub fn bars_chosen(self) -> bool {
-        self.is_stated() && !matches!(self, Obstacle::Returns | Obstacle::Limits(_))
+    pub fn blocks_chosen_request(self) -> bool {
+        self.is_stated() && !matches!(self, Obstacle::TrialPending | Obstacle::LimitExhausted(_))
     }
 }
--- a/crates/steering/src/statement/stated.rs
+++ b/crates/steering/src/statement/stated.rs
@@ -17,7 +17,7 @@
 /// They are kept apart from what this host has learned by itself: an answer that shows that
 /// an upstream lives says nothing against them, and they end in no other way than here.
 #[derive(Debug, Default)]
-pub struct Stated {
+pub struct ActiveStatements {
     /// Since when it leaves. Never taken back: it ends with the start.
     leaves_since: Option<Instant>,
     rest: Rest,
@@ -40,7 +40,7 @@
 
 /// A limit that an upstream names, as this host has last heard it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitHeard {
+pub struct KnownLimit {
     /// Requests a second from all hosts together.
     pub per_s: f64,
     /// Time since it was heard.
@@ -70,7 +70,7 @@
     Trial(Instant),
 }
 
-impl Stated {
+impl ActiveStatements {
     /// Takes that it leaves; true where that is new.
     pub fn leave(&mut self, now: Instant) -> bool {
         let is_new = self.leaves_since.is_none();
@@ -125,22 +125,22 @@
     }
 
     /// Its limit; none where it names none. Where there is one, a request needs a token of it.
-    pub fn limit_heard(&self, now: Instant) -> Option<LimitHeard> {
-        self.limit.map(|limit| LimitHeard {
+    pub fn limit_heard(&self, now: Instant) -> Option<KnownLimit> {
+        self.limit.map(|limit| KnownLimit {
             per_s: limit.per_s,
             age: now.saturating_duration_since(limit.heard),
         })
     }
 
     /// Takes that no host that holds a part of its limit has a token for so long.
-    pub fn limit_is_dry(&mut self, now: Instant, wait: Duration) {
+    pub fn limit_exhausted(&mut self, now: Instant, wait: Duration) {
         if let Some(limit) = &mut self.limit {
             limit.dry_until = now + wait;
         }
     }
 
     /// Takes that a request has a token of its limit.
-    pub fn limit_gave(&mut self) {
+    pub fn limit_token_granted(&mut self) {
         if let Some(limit) = &mut self.limit {
             limit.turned_away = 0;
         }
@@ -148,7 +148,7 @@
 
     /// Takes that a request was turned away for its limit; the time over which callers who are
     /// turned away together should come back.
-    pub fn limit_turns_away(&mut self) -> Duration {
+    pub fn limit_refused_request(&mut self) -> Duration {
         let Some(limit) = &mut self.limit else {
             return Duration::ZERO;
         };
@@ -164,14 +164,14 @@
         }
         match self.rest {
             Rest::Until(until) if until > now => Some(Obstacle::Rests(until - now)),
-            Rest::Trial(_) => Some(Obstacle::Returns),
+            Rest::Trial(_) => Some(Obstacle::TrialPending),
             Rest::None | Rest::Until(_) => self.dry(now),
         }
     }
 
     fn dry(&self, now: Instant) -> Option<Obstacle> {
         let until = self.limit?.dry_until;
-        (until > now).then(|| Obstacle::Limits(until - now))
+        (until > now).then(|| Obstacle::LimitExhausted(until - now))
     }
 
     /// Notes a request that is about to be sent.
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, RngCore};
 
 use crate::belief::Beliefs;
-use crate::choice::PlaceView;
+use crate::choice::ZoneCandidate;
 use crate::ids::{Incarnation, Revision, ServiceName, ZoneName};
 use crate::membership::HostEntry;
 use crate::plan::{Plan, PoolKey, RuleMatch, ServicePlan, ZonePlan};
@@ -44,7 +44,7 @@
     /// The zone.
     pub zone: &'a ZonePlan,
     /// As the choice sees it.
-    pub place: PlaceView,
+    pub place: ZoneCandidate,
 }
 
 impl View {
@@ -101,7 +101,7 @@
         let own = self.own_count(name, &zone.zone);
         let own = own.map_or(0, |count| count.load(Ordering::Relaxed));
         let believed = self.beliefs.believe(now, &zone.zone, name, zone.slots, own);
-        let place = PlaceView {
+        let place = ZoneCandidate {
             zone: zone.zone.clone(),
             share,
             one_way_ms: self.plan.document.one_way_ms(&self.me.zone, &zone.zone),
--- a/crates/steering/tests/limiter.rs
+++ b/crates/steering/tests/limiter.rs
@@ -5,14 +5,14 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
-use steering::limiter::{Escrow, LOAN_LAPSE, LoanGrant, LoanRequest, Rate, Roster};
+use steering::limiter::{Escrow, LOAN_LAPSE, LoanGrant, LoanRequest, RateCounter, Roster};
 
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
 fn a_rate_is_not_exceeded_in_any_second() {
     let start = Instant::now();
-    let mut rate = Rate::new(start);
+    let mut rate = RateCounter::new(start);
     rate.allow(start, 10);
     let mut admitted: VecDeque<Instant> = VecDeque::new();
     let mut total = 0;
@@ -36,7 +36,7 @@
 #[test]
 fn a_raised_rate_counts_only_after_a_window() {
     let start = Instant::now();
-    let mut rate = Rate::new(start);
+    let mut rate = RateCounter::new(start);
     rate.allow(start, 5);
     assert!(!rate.admit(start + 500 * MS));
     assert!(rate.admit(start + 1_100 * MS));
@@ -61,7 +61,10 @@
     roster.free("a", 1);
     assert_eq!(roster.take("a", 2, 500), Ok(500));
     assert!(roster.is_whole());
-    assert_eq!(roster.floor("a", 2, 5) + roster.floor("b", 1, 5), 4);
+    assert_eq!(
+        roster.owned_units("a", 2, 5) + roster.owned_units("b", 1, 5),
+        4
+    );
 }
 
 const HOSTS: usize = 3;
@@ -78,7 +81,7 @@
 impl Start {
     fn new(host: usize, incarnation: u64, floor: u32) -> Self {
         let mut escrow = Escrow::new(host.to_string(), incarnation);
-        escrow.set_floor(floor);
+        escrow.set_owned(floor);
         Start {
             incarnation,
             escrow,
@@ -182,7 +185,7 @@
             let part = std::mem::take(&mut self.orphaned[host]);
             let escrow = &mut self.starts[host].escrow;
             let floor = escrow.own() + escrow.lent() + part;
-            escrow.set_floor(floor);
+            escrow.set_owned(floor);
         }
     }
 
--- a/crates/steering/tests/pool.rs
+++ b/crates/steering/tests/pool.rs
@@ -8,7 +8,9 @@
 use steering::choice::LeastExpected;
 use steering::document::Upstream;
 use steering::error::ErrorKind;
-use steering::pool::{Decision, Grant, LoadReport, Offer, Outcome, Pool, PoolLimits, Step};
+use steering::pool::{
+    Decision, Grant, LoadReport, Outcome, Pool, PoolLimits, PoolRequest, QueueStep,
+};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -52,7 +54,7 @@
     }
 
     fn offer_as(&mut self, within: Duration, priority: u8, hedge: bool) -> Decision {
-        let offer = Offer {
+        let offer = PoolRequest {
             deadline: self.now + within,
             priority,
             hedge,
@@ -67,7 +69,7 @@
         }
     }
 
-    fn release(&mut self, grant: &Grant, outcome: Outcome) -> Vec<Step> {
+    fn release(&mut self, grant: &Grant, outcome: Outcome) -> Vec<QueueStep> {
         self.pool.release(self.now, grant, outcome, &mut self.rng)
     }
 
@@ -88,7 +90,7 @@
     assert!(matches!(bench.offer(1_000 * MS, 5), Decision::Queued(_)));
     assert_eq!(bench.pool.load().in_flight, 3);
     let steps = bench.release(&grants[0], Outcome::Answered(10 * MS));
-    assert!(matches!(steps[..], [Step::Granted(_)]));
+    assert!(matches!(steps[..], [QueueStep::Granted(_)]));
     assert_eq!(bench.pool.load().in_flight, 3);
 }
 
@@ -103,7 +105,7 @@
         panic!()
     };
     let steps = bench.release(&running, Outcome::Answered(10 * MS));
-    assert!(matches!(&steps[..], [Step::Granted(grant)] if grant.wait == soon));
+    assert!(matches!(&steps[..], [QueueStep::Granted(grant)] if grant.wait == soon));
 }
 
 #[test]
@@ -117,7 +119,10 @@
     assert_eq!(bench.offer(15 * MS, 5), Decision::Queued(1));
     bench.now += 6 * MS;
     let steps = bench.pool.advance(bench.now, &mut bench.rng);
-    assert_eq!(steps, [Step::Refused(1, ErrorKind::DeadlineBeforeDispatch)]);
+    assert_eq!(
+        steps,
+        [QueueStep::Refused(1, ErrorKind::DeadlineBeforeDispatch)]
+    );
 }
 
 #[test]
@@ -132,7 +137,7 @@
     );
     assert_eq!(bench.offer(1_000 * MS, 8), Decision::Queued(3));
     let steps = bench.pool.advance(bench.now, &mut bench.rng);
-    assert_eq!(steps, [Step::Refused(2, ErrorKind::NoCapacity)]);
+    assert_eq!(steps, [QueueStep::Refused(2, ErrorKind::NoCapacity)]);
 }
 
 #[test]
@@ -151,7 +156,7 @@
     );
     bench.now += 501 * MS;
     let steps = bench.pool.advance(bench.now, &mut bench.rng);
-    assert!(matches!(steps[..], [Step::Granted(_)]));
+    assert!(matches!(steps[..], [QueueStep::Granted(_)]));
 }
 
 #[test]
@@ -397,14 +402,14 @@
     );
     bench.now += MS;
     let steps = bench.pool.advance(bench.now, &mut bench.rng);
-    let [Step::Granted(trial)] = &steps[..] else {
+    let [QueueStep::Granted(trial)] = &steps[..] else {
         panic!("{steps:?}");
     };
     let next = bench.offer(100 * MS, 5);
     assert!(matches!(next, Decision::Queued(_)), "{next:?}");
     bench.pool.first_byte(bench.now, trial);
     let steps = bench.release(trial, Outcome::Answered(10 * MS));
-    assert!(matches!(&steps[..], [Step::Granted(_)]), "{steps:?}");
+    assert!(matches!(&steps[..], [QueueStep::Granted(_)]), "{steps:?}");
 }
 
 /// The first request after a rest gets no answer before its deadline: the next decides.
@@ -420,7 +425,7 @@
     assert!(matches!(after, Decision::Queued(_)), "{after:?}");
     bench.pool.first_byte(bench.now, &next);
     let steps = bench.pool.advance(bench.now, &mut bench.rng);
-    assert!(matches!(&steps[..], [Step::Granted(_)]), "{steps:?}");
+    assert!(matches!(&steps[..], [QueueStep::Granted(_)]), "{steps:?}");
 }
 
 #[test]
--- a/crates/steering/tests/route_abandoned.rs
+++ b/crates/steering/tests/route_abandoned.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use steering::route::{Abandoned, WorkIdentity};
+use steering::route::{AbandonedRequests, WorkIdentity};
 
 #[rstest]
 #[case::at_once(0, true)]
@@ -15,7 +15,7 @@
 ) {
     let epoch = Instant::now();
     let at = |ms| epoch + Duration::from_millis(ms);
-    let mut abandoned = Abandoned::default();
+    let mut abandoned = AbandonedRequests::default();
     let work = WorkIdentity::named(7);
     abandoned.note(at(100), work, epoch);
     let taken = abandoned.take(at(100 + later_ms));
@@ -31,7 +31,7 @@
 #[test]
 fn abandoned_requests_are_bounded_and_the_latest_are_kept() {
     let epoch = Instant::now();
-    let mut abandoned = Abandoned::default();
+    let mut abandoned = AbandonedRequests::default();
     for request in 0..1_000 {
         abandoned.note(epoch, WorkIdentity::named(request), epoch);
     }
--- a/crates/steering/tests/route_allowance.rs
+++ b/crates/steering/tests/route_allowance.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use steering::route::{
-    Allowance, AllowanceTerms, KEEP_ALIVE, Step, Take, TokenAsk, TokenBound, TokenLeases,
-    TokenPool, TokenReply, TokenWant, group_of,
+    Allowance, AllowanceTolerance, KEEP_ALIVE, LeaseStep, TakeResult, TokenBound, TokenDemand,
+    TokenLeases, TokenPool, TokenReply, TokenRequest, group_of,
 };
 
 const TICK: Duration = Duration::from_millis(10);
@@ -17,10 +17,10 @@
 const CALL_LIMIT: Duration = Duration::from_millis(500);
 const CUSTOMER: &str = "huka270";
 const WINDOW: Duration = Duration::from_secs(5);
-const TERMS: AllowanceTerms = AllowanceTerms {
+const TERMS: AllowanceTolerance = AllowanceTolerance {
     window: WINDOW,
-    over: 0.1,
-    spare: 20.0,
+    over_share: 0.1,
+    over_requests: 20.0,
 };
 
 struct Host {
@@ -29,7 +29,7 @@
     leases: TokenLeases,
     pool: TokenPool,
     /// The call under way: when it was made, of whom, and what was asked.
-    call: Option<(Instant, usize, TokenAsk)>,
+    call: Option<(Instant, usize, TokenRequest)>,
     next: Instant,
     /// Down until then.
     down: Option<Instant>,
@@ -38,7 +38,7 @@
 }
 
 enum Message {
-    Ask(usize, u64, TokenAsk),
+    Ask(usize, u64, TokenRequest),
     Reply(usize, u64, TokenReply),
 }
 
@@ -151,12 +151,12 @@
         }
     }
 
-    fn reply(&mut self, to: usize, from: usize, ask: &TokenAsk) -> TokenReply {
+    fn reply(&mut self, to: usize, from: usize, ask: &TokenRequest) -> TokenReply {
         let bound = TokenBound::new(&self.allowance, &TERMS);
         let hosts = self.hosts.len();
         let asker = self.hosts[from].name.clone();
         let pool = &mut self.hosts[to].pool;
-        pool.ask(self.now, &asker, true, ask, Some(hosts), &|_| Some(bound))
+        pool.handle_request(self.now, &asker, true, ask, Some(hosts), &|_| Some(bound))
     }
 
     fn act(&mut self, me: usize) {
@@ -190,8 +190,8 @@
         let host = &mut self.hosts[me];
         host.next = now + KEEP_ALIVE;
         match host.leases.step(now, group_of(CUSTOMER), &ranked) {
-            Step::Rest(until) => host.next = until.max(now + TICK),
-            Step::Ask(name, ask) => {
+            LeaseStep::WaitUntil(until) => host.next = until.max(now + TICK),
+            LeaseStep::SendRequest(name, ask) => {
                 let number: usize = name[1..].parse().expect("names are numbered");
                 let incarnation = host.incarnation;
                 if number == me {
@@ -216,9 +216,9 @@
         self.asks += 1;
         let host = &mut self.hosts[at];
         match host.leases.take(self.now, CUSTOMER) {
-            Take::Taken => self.run(),
-            Take::Dry(_) => self.refused += 1,
-            Take::Wait => {
+            TakeResult::Taken => self.run(),
+            TakeResult::Exhausted(_) => self.refused += 1,
+            TakeResult::Wait => {
                 // The driver of the test looks again in its next steps.
                 host.next = self.now;
             }
@@ -234,14 +234,14 @@
                 self.refused += 1;
                 continue;
             }
-            match self.hosts[at].leases.again(now, CUSTOMER) {
-                Take::Taken => self.run(),
-                Take::Dry(_) => self.refused += 1,
-                Take::Wait if now > since + CALL_LIMIT => {
-                    self.hosts[at].leases.give_up(CUSTOMER);
+            match self.hosts[at].leases.retry(now, CUSTOMER) {
+                TakeResult::Taken => self.run(),
+                TakeResult::Exhausted(_) => self.refused += 1,
+                TakeResult::Wait if now > since + CALL_LIMIT => {
+                    self.hosts[at].leases.cancel_wait(CUSTOMER);
                     self.refused += 1;
                 }
-                Take::Wait => left.push((at, incarnation, since)),
+                TakeResult::Wait => left.push((at, incarnation, since)),
             }
         }
         *waiting = left;
@@ -258,7 +258,7 @@
 
     fn most(&self) -> f64 {
         let Allowance { per_s, burst } = self.allowance;
-        (per_s * WINDOW.as_secs_f64() + burst) * (1.0 + TERMS.over) + TERMS.spare
+        (per_s * WINDOW.as_secs_f64() + burst) * (1.0 + TERMS.over_share) + TERMS.over_requests
     }
 
     /// Plays requests at a rate for a time, spread over hosts by chance.
@@ -393,13 +393,13 @@
 #[case::no_burst(allowance(400.0, 0.0))]
 #[case::large_burst(allowance(10.0, 1_000.0))]
 fn a_bucket_keeps_to_the_allowance_in_a_window(#[case] allowance: Allowance) {
-    let exact = AllowanceTerms::default();
+    let exact = AllowanceTolerance::default();
     for terms in [TERMS, exact] {
         let TokenBound { per_s, depth } = TokenBound::new(&allowance, &terms);
         let window_s = terms.window.as_secs_f64();
-        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over);
+        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over_share);
         // A bucket of less than one token would admit nothing.
-        let most = (most + terms.spare).max(per_s * window_s + 1.0);
+        let most = (most + terms.over_requests).max(per_s * window_s + 1.0);
         assert!(per_s * window_s + depth <= most + 1e-9, "{per_s} {depth}");
         assert!(depth >= 1.0 && per_s > 0.0, "{per_s} {depth}");
     }
@@ -417,19 +417,19 @@
     let mut pool = TokenPool::new(1, start, false);
     let mut ask = |at: Instant, from: &str, counts: bool, need: u32| {
         let hosts = Some(2);
-        let join = TokenAsk {
+        let join = TokenRequest {
             group: group_of(CUSTOMER),
             confirms: None,
             leaves: false,
             wants: Vec::new(),
         };
-        let reply = pool.ask(at, from, counts, &join, hosts, &|_| Some(bound));
+        let reply = pool.handle_request(at, from, counts, &join, hosts, &|_| Some(bound));
         let TokenReply::Granted { stamp, .. } = reply else {
             panic!("{reply:?}");
         };
-        let want = TokenAsk {
+        let want = TokenRequest {
             confirms: Some(stamp),
-            wants: vec![TokenWant {
+            wants: vec![TokenDemand {
                 customer: CUSTOMER.to_owned(),
                 held: 0,
                 need,
@@ -437,7 +437,7 @@
             }],
             ..join
         };
-        match pool.ask(at, from, counts, &want, hosts, &|_| Some(bound)) {
+        match pool.handle_request(at, from, counts, &want, hosts, &|_| Some(bound)) {
             TokenReply::Granted { grants, .. } => grants[0],
             reply => panic!("{reply:?}"),
         }
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -20,7 +20,7 @@
 fn run_dry(service: &ServicePool, id: &str, now: Instant, wait: Duration) {
     name_limit(service, id, now, 4.0);
     let upstream = member(service, id);
-    upstream.condition().stated.limit_is_dry(now, wait);
+    upstream.condition().stated.limit_exhausted(now, wait);
 }
 
 #[test]
@@ -78,7 +78,10 @@
     assert_eq!(choice.limit(now), None);
     let id = choice.upstream.report.id.clone();
     name_limit(&service, &id, now, 4.0);
-    assert_eq!(choice.barred(now), Some(Obstacle::Limits(Duration::ZERO)));
+    assert_eq!(
+        choice.barred(now),
+        Some(Obstacle::LimitExhausted(Duration::ZERO))
+    );
     let with_token = steering::route::Choice {
         has_token: true,
         ..choice
@@ -98,7 +101,7 @@
     }
     condition.stated.limit(now, now, Some(4.0));
     assert!(condition.may_be_asked_again(now));
-    condition.stated.limit_is_dry(now, WAIT);
+    condition.stated.limit_exhausted(now, WAIT);
     assert!(!condition.may_be_asked_again(now));
 }
 
@@ -223,7 +226,7 @@
     let now = Instant::now();
     let mut condition = Condition::default();
     condition.stated.limit(now, now, Some(4.8));
-    condition.stated.limit_is_dry(now, WAIT);
+    condition.stated.limit_exhausted(now, WAIT);
     let change = condition.stated.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
     assert_eq!(condition.stated.limit_heard(now + MS).unwrap().per_s, 2.0);
--- a/crates/steering/tests/route_limit.rs
+++ b/crates/steering/tests/route_limit.rs
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use steering::route::{
-    HOLDERS_MOST, LimitAsk, LimitAsks, LimitReply, LimitTerms, LimitTokens, holders, limit_part,
+    HolderSelector, LimitReply, LimitTokenRequest, LimitTokens, LimitTolerance, MAX_HOLDERS,
+    holder_share, holders,
 };
 
 const STEP: Duration = Duration::from_millis(5);
@@ -51,7 +52,7 @@
     /// Hosts of the list as it has it.
     listed: Vec<String>,
     tokens: LimitTokens,
-    asks: LimitAsks,
+    asks: HolderSelector,
     down_until: usize,
 }
 
@@ -69,13 +70,13 @@
     sent: usize,
 }
 
-fn ask(per_s: f64) -> LimitAsk {
-    LimitAsk {
+fn ask(per_s: f64) -> LimitTokenRequest {
+    LimitTokenRequest {
         upstream: "i-1".to_owned(),
         zone: "quito-norte".to_owned(),
-        born_ms: Some(1),
+        started_ms: Some(1),
         per_s,
-        heard_ms: 0,
+        age_ms: 0,
         urgency: 1.0,
     }
 }
@@ -87,7 +88,7 @@
             name: name.clone(),
             listed: names.clone(),
             tokens: LimitTokens::default(),
-            asks: LimitAsks::default(),
+            asks: HolderSelector::default(),
             down_until: 0,
         };
         let hosts = names.iter().map(host).collect();
@@ -112,7 +113,7 @@
             Trouble::Kills if step.is_multiple_of(200) => {
                 let host = &mut self.hosts[random.random_range(0..count)];
                 host.tokens = LimitTokens::default();
-                host.asks = LimitAsks::default();
+                host.asks = HolderSelector::default();
                 host.down_until = step + 100;
             }
             Trouble::Join if step == 2_000 || step == 2_400 => {
@@ -140,7 +141,7 @@
                         name,
                         listed,
                         tokens: LimitTokens::default(),
-                        asks: LimitAsks::default(),
+                        asks: HolderSelector::default(),
                         down_until: 0,
                     });
                 }
@@ -163,9 +164,9 @@
             host.listed.iter().map(String::as_str),
         );
         if !own.contains(&holder) {
-            return Some(LimitReply::NoPart);
+            return Some(LimitReply::NotAHolder);
         }
-        let (question, terms) = (ask(self.world.per_s), LimitTerms::default());
+        let (question, terms) = (ask(self.world.per_s), LimitTolerance::default());
         Some(
             host.tokens
                 .take(self.now, &asker_name, &question, own.len(), &terms)
@@ -175,7 +176,7 @@
 
     /// Whether a request of a host may be sent.
     fn sends(&mut self, asker: usize) -> bool {
-        let (question, terms) = (ask(self.world.per_s), LimitTerms::default());
+        let (question, terms) = (ask(self.world.per_s), LimitTolerance::default());
         let host = &mut self.hosts[asker];
         let listed = host.listed.clone();
         let known = holders(START, self.world.per_s, listed.iter().map(String::as_str));
@@ -215,7 +216,7 @@
             most_in_window: 0,
             sent: 0,
         };
-        let window = (LimitTerms::default().window.as_millis() / STEP.as_millis()) as usize;
+        let window = (LimitTolerance::default().window.as_millis() / STEP.as_millis()) as usize;
         for step in 0..STEPS {
             (self.step, self.now) = (step, self.now + STEP);
             self.befall(&mut random);
@@ -237,8 +238,8 @@
 }
 
 fn allowed(per_s: f64) -> usize {
-    let terms = LimitTerms::default();
-    (per_s * terms.window.as_secs_f64() * (1.0 + terms.over) + terms.spare) as usize
+    let terms = LimitTolerance::default();
+    (per_s * terms.window.as_secs_f64() * (1.0 + terms.over_share) + terms.over_requests) as usize
 }
 
 /// Share of the limit that was used.
@@ -335,12 +336,12 @@
     #[values(0.25, 0.5, 1.5, 4.8, 50.0, 99_999.0)] per_s: f64,
     #[values(1, 2, 3, 4)] holders: usize,
 ) {
-    assert!(holders <= HOLDERS_MOST);
-    let terms = LimitTerms::default();
-    let part = limit_part(per_s, holders, &terms);
+    assert!(holders <= MAX_HOLDERS);
+    let terms = LimitTolerance::default();
+    let part = holder_share(per_s, holders, &terms);
     let window_s = terms.window.as_secs_f64();
     let all = (holders + 1) as f64 * (part.depth + part.per_s * window_s);
-    let most = per_s * window_s * (1.0 + terms.over) + terms.spare;
+    let most = per_s * window_s * (1.0 + terms.over_share) + terms.over_requests;
     assert!(all <= most + 1e-6, "{all} of {most}");
     assert!(part.per_s * holders as f64 <= per_s);
     assert!(
@@ -351,10 +352,10 @@
 
 #[test]
 fn a_part_begins_with_no_token() {
-    let (now, terms) = (Instant::now(), LimitTerms::default());
+    let (now, terms) = (Instant::now(), LimitTolerance::default());
     let mut tokens = LimitTokens::default();
     let (reply, change) = tokens.take(now, "h", &ask(4.0), 1, &terms);
-    assert!(matches!(reply, LimitReply::Dry(_)), "{reply:?}");
+    assert!(matches!(reply, LimitReply::Exhausted(_)), "{reply:?}");
     assert!(change.is_some(), "it is told");
     let (reply, change) = tokens.take(now + Duration::from_secs(1), "h", &ask(4.0), 1, &terms);
     assert_eq!(reply, LimitReply::Granted);
@@ -363,11 +364,11 @@
 
 #[test]
 fn the_limit_that_was_heard_last_holds() {
-    let (now, terms) = (Instant::now(), LimitTerms::default());
+    let (now, terms) = (Instant::now(), LimitTolerance::default());
     let mut tokens = LimitTokens::default();
     tokens.take(now, "h", &ask(4.0), 1, &terms);
-    let old = LimitAsk {
-        heard_ms: 1_000,
+    let old = LimitTokenRequest {
+        age_ms: 1_000,
         ..ask(50.0)
     };
     let later = now + Duration::from_millis(100);
@@ -382,15 +383,15 @@
 
 #[test]
 fn who_is_told_to_wait_comes_back_one_after_the_other() {
-    let (now, terms) = (Instant::now(), LimitTerms::default());
+    let (now, terms) = (Instant::now(), LimitTolerance::default());
     let mut tokens = LimitTokens::default();
     let mut wait = |asker: &str| match tokens.take(now, asker, &ask(4.0), 1, &terms).0 {
-        LimitReply::Dry(ms) => ms,
+        LimitReply::Exhausted(ms) => ms,
         reply => panic!("{reply:?}"),
     };
     let hosts: Vec<String> = (0..100).map(|n| format!("h{n}")).collect();
     let waits: Vec<u32> = hosts[..4].iter().map(|host| wait(host)).collect();
-    let part = limit_part(4.0, 1, &terms);
+    let part = holder_share(4.0, 1, &terms);
     let apart_ms = (1_000.0 / part.per_s) as u32;
     for (place, wait) in waits.iter().enumerate() {
         let expected = apart_ms * (place as u32 + 1);
@@ -403,17 +404,17 @@
 
 #[test]
 fn the_last_tokens_are_for_the_most_urgent() {
-    let (now, terms) = (Instant::now(), LimitTerms::default());
+    let (now, terms) = (Instant::now(), LimitTolerance::default());
     let mut tokens = LimitTokens::default();
-    let part = limit_part(4.0, 1, &terms);
+    let part = holder_share(4.0, 1, &terms);
     tokens.take(now, "h", &ask(4.0), 1, &terms);
     let one_token = now + Duration::from_secs_f64(1.01 / part.per_s);
-    let less_urgent = LimitAsk {
+    let less_urgent = LimitTokenRequest {
         urgency: 0.6,
         ..ask(4.0)
     };
     let reply = tokens.take(one_token, "h", &less_urgent, 1, &terms).0;
-    assert!(matches!(reply, LimitReply::Dry(_)));
+    assert!(matches!(reply, LimitReply::Exhausted(_)));
     let reply = tokens.take(one_token, "h", &ask(4.0), 1, &terms).0;
     assert_eq!(reply, LimitReply::Granted);
 }
@@ -422,9 +423,13 @@
 fn a_holder_asks_itself_first_and_others_begin_apart() {
     let now = Instant::now();
     let known = ["a", "b", "c", "d"];
-    let mut asks = LimitAsks::default();
+    let mut asks = HolderSelector::default();
     assert_eq!(asks.next(now, START, &known, "c"), Ok("c"));
-    let first = |me: &str| LimitAsks::default().next(now, START, &known, me).unwrap();
+    let first = |me: &str| {
+        HolderSelector::default()
+            .next(now, START, &known, me)
+            .unwrap()
+    };
     let firsts: std::collections::BTreeSet<&str> =
         (0..40).map(|n| first(&format!("h{n}"))).collect();
     assert_eq!(firsts.len(), known.len());
@@ -434,9 +439,9 @@
 fn holders_that_have_no_token_or_are_silent_are_put_off() {
     let now = Instant::now();
     let known = ["a", "b"];
-    let mut asks = LimitAsks::default();
+    let mut asks = HolderSelector::default();
     let first = asks.next(now, START, &known, "h").unwrap();
-    asks.answered(now, START, first, Some(LimitReply::Dry(300)));
+    asks.answered(now, START, first, Some(LimitReply::Exhausted(300)));
     let second = asks.next(now, START, &known, "h").unwrap();
     assert_ne!(first, second);
     asks.answered(now, START, second, None);
--- a/crates/steering/tests/route_suspects.rs
+++ b/crates/steering/tests/route_suspects.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steering::rendezvous;
-use steering::route::{Admission, Suspects, WorkIdentity, WorkTold};
+use steering::route::{Admission, Suspects, WorkEvent, WorkIdentity};
 
 const WORK: WorkIdentity = WorkIdentity {
     request: 7,
@@ -42,14 +42,14 @@
         self.epoch + Duration::from_millis(ms)
     }
 
-    /// An upstream crashes at `ended_ms` while it runs work that it received at `sent_ms`.
+    /// An upstream crashes at `crashed_ms` while it runs work that it received at `sent_ms`.
     fn crash(&mut self, start: u64, sent_ms: u64, crashed_ms: u64) -> bool {
-        let told = WorkTold::Ended {
+        let event = WorkEvent::Crashed {
             start,
             sent_ms: (crashed_ms - sent_ms) as u32,
-            ended_ms: 0,
+            crashed_ms: 0,
         };
-        self.suspects.take(self.at(crashed_ms), WORK, told)
+        self.suspects.apply(self.at(crashed_ms), WORK, event)
     }
 
     fn admit(&mut self, ms: u64) -> Admission {
@@ -62,8 +62,8 @@
     }
 
     fn answer_after(&mut self, ms: u64, sent_ms: u32) -> bool {
-        let told = WorkTold::Answered { sent_ms };
-        self.suspects.take(self.at(ms), WORK, told)
+        let event = WorkEvent::Answered { sent_ms };
+        self.suspects.apply(self.at(ms), WORK, event)
     }
 }
 
@@ -71,23 +71,23 @@
 fn refused_ms(admission: Admission) -> Option<u64> {
     match admission {
         Admission::Refused(time) => Some(time.as_millis() as u64),
-        Admission::Free | Admission::Trial => None,
+        Admission::Unrestricted | Admission::Trial => None,
     }
 }
 
 #[test]
 fn one_crash_neither_refuses_work_nor_forbids_a_retry() {
     let mut fixture = Fixture::new();
-    assert_eq!(fixture.admit(0), Admission::Free);
+    assert_eq!(fixture.admit(0), Admission::Unrestricted);
     assert!(
         fixture.crash(1, 0, 100),
         "a new crash must be sent to other hosts"
     );
-    assert_eq!(fixture.admit(100), Admission::Free);
-    assert!(fixture.suspects.may_be_repeated(WORK));
+    assert_eq!(fixture.admit(100), Admission::Unrestricted);
+    assert!(fixture.suspects.may_be_retried(WORK));
     assert_eq!(
         fixture.suspects.admit(fixture.at(100), OTHER),
-        Admission::Free
+        Admission::Unrestricted
     );
 }
 
@@ -96,7 +96,7 @@
     let mut fixture = Fixture::new();
     fixture.crash(1, 0, 100);
     fixture.crash(2, 110, 200);
-    assert!(!fixture.suspects.may_be_repeated(WORK));
+    assert!(!fixture.suspects.may_be_retried(WORK));
     let refused = jittered_ms(5);
     assert_eq!(refused_ms(fixture.admit(200)), Some(refused));
     let over = 201 + refused;
@@ -121,7 +121,7 @@
         assert_eq!(fixture.admit(now_ms), Admission::Trial);
     }
     assert!(fixture.answer(now_ms + 100));
-    assert_eq!(fixture.admit(now_ms + 100), Admission::Free);
+    assert_eq!(fixture.admit(now_ms + 100), Admission::Unrestricted);
     assert!(!fixture.answer(now_ms + 200), "nothing is left to clear");
 }
 
@@ -144,7 +144,7 @@
     }
     assert_eq!(
         fixture.admit(now_ms + 12_000_000),
-        Admission::Free,
+        Admission::Unrestricted,
         "the crashes are forgotten"
     );
 }
@@ -167,35 +167,35 @@
         }
         fixture.crash(*start, *sent_ms, *crashed_ms);
     }
-    assert_eq!(fixture.admit(400), Admission::Free);
-    assert!(fixture.suspects.may_be_repeated(WORK));
+    assert_eq!(fixture.admit(400), Admission::Unrestricted);
+    assert!(fixture.suspects.may_be_retried(WORK));
 }
 
 #[test]
 fn delayed_updates_count_from_the_time_of_the_event() {
     let mut fixture = Fixture::new();
-    let told = |start, sent_ms, ended_ms| WorkTold::Ended {
+    let event = |start, sent_ms, crashed_ms| WorkEvent::Crashed {
         start,
         sent_ms,
-        ended_ms,
+        crashed_ms,
     };
     let now = fixture.at(1_000);
-    assert!(fixture.suspects.take(now, WORK, told(1, 900, 800)));
-    let later = told(2, 700, 600).later(Duration::from_millis(50));
-    assert!(fixture.suspects.take(now, WORK, later));
+    assert!(fixture.suspects.apply(now, WORK, event(1, 900, 800)));
+    let later = event(2, 700, 600).aged_by(Duration::from_millis(50));
+    assert!(fixture.suspects.apply(now, WORK, later));
     assert!(
-        !fixture.suspects.take(now, WORK, later),
+        !fixture.suspects.apply(now, WORK, later),
         "the crash is known"
     );
     assert_eq!(refused_ms(fixture.admit(1_000)), Some(jittered_ms(5) - 650));
     // A trial at another host counts like one at this host.
     let over = 1_000 + jittered_ms(5);
     let now = fixture.at(over);
-    assert!(fixture.suspects.take(now, WORK, WorkTold::Tried));
-    assert!(!fixture.suspects.take(now, WORK, WorkTold::Tried));
+    assert!(fixture.suspects.apply(now, WORK, WorkEvent::TrialStarted));
+    assert!(!fixture.suspects.apply(now, WORK, WorkEvent::TrialStarted));
     assert_eq!(refused_ms(fixture.admit(over)), Some(3_000));
     assert!(
-        !fixture.suspects.take(now, OTHER, WorkTold::Tried),
+        !fixture.suspects.apply(now, OTHER, WorkEvent::TrialStarted),
         "no crash is known for this work"
     );
 }
@@ -206,15 +206,15 @@
     fixture.crash(1, 0, 100);
     fixture.crash(2, 110, 200);
     for other in 0..10_000 {
-        let told = WorkTold::Ended {
+        let event = WorkEvent::Crashed {
             start: other,
             sent_ms: 10,
-            ended_ms: 0,
+            crashed_ms: 0,
         };
         let now = fixture.at(300 + other);
         fixture
             .suspects
-            .take(now, WorkIdentity::named(1_000 + other), told);
+            .apply(now, WorkIdentity::named(1_000 + other), event);
     }
     assert_eq!(fixture.suspects.refused(fixture.at(300)).len(), 1);
     assert!(matches!(fixture.admit(300), Admission::Refused(_)));
@@ -229,12 +229,12 @@
         .map(|number| {
             let mut suspects = Suspects::new(&format!("edge-{number}"));
             for (start, ago_ms) in [(1, 200), (2, 100)] {
-                let told = WorkTold::Ended {
+                let event = WorkEvent::Crashed {
                     start,
                     sent_ms: ago_ms,
-                    ended_ms: ago_ms - 50,
+                    crashed_ms: ago_ms - 50,
                 };
-                suspects.take(now, WORK, told);
+                suspects.apply(now, WORK, event);
             }
             refused_ms(suspects.admit(now, WORK)).expect("it is refused")
         })
@@ -257,7 +257,7 @@
     fixture.answer(tried + 100);
     let again = tried + 100 + 751;
     assert_eq!(fixture.admit(again), Admission::Trial);
-    assert!(!fixture.suspects.may_be_repeated(WORK));
+    assert!(!fixture.suspects.may_be_retried(WORK));
     fixture.crash(3, again, again + 100);
     assert_eq!(
         refused_ms(fixture.admit(again + 100)),
@@ -280,21 +280,21 @@
         );
     }
     assert_eq!(fixture.admit(over + 4_000), Admission::Trial);
-    assert!(!fixture.suspects.may_be_repeated(WORK));
+    assert!(!fixture.suspects.may_be_retried(WORK));
 }
 
 #[test]
 fn an_operator_has_work_refused_and_served_again() {
     let mut fixture = Fixture::new();
     let now = fixture.at(100);
-    assert!(!fixture.suspects.take(now, WORK, WorkTold::Cleared));
-    assert!(fixture.suspects.take(now, WORK, WorkTold::Refused));
+    assert!(!fixture.suspects.apply(now, WORK, WorkEvent::Cleared));
+    assert!(fixture.suspects.apply(now, WORK, WorkEvent::Refused));
     assert_eq!(refused_ms(fixture.admit(100)), Some(jittered_ms(320)));
     let listed = fixture.suspects.refused(now);
     let listed: Vec<_> = listed.iter().map(|listed| listed.work).collect();
     assert_eq!(listed, [WORK.request]);
-    assert!(fixture.suspects.take(now, WORK, WorkTold::Cleared));
-    assert_eq!(fixture.admit(100), Admission::Free);
+    assert!(fixture.suspects.apply(now, WORK, WorkEvent::Cleared));
+    assert_eq!(fixture.admit(100), Admission::Unrestricted);
     assert!(fixture.suspects.refused(now).is_empty());
 }
 
@@ -307,12 +307,12 @@
     /// Two consecutive upstreams crash while they run `work`, the first at `ms`.
     fn crash_twice(&mut self, work: WorkIdentity, ms: u64) {
         for (start, at_ms) in [(10 * work.request, ms), (10 * work.request + 1, ms + 100)] {
-            let told = WorkTold::Ended {
+            let event = WorkEvent::Crashed {
                 start,
                 sent_ms: 90,
-                ended_ms: 0,
+                crashed_ms: 0,
             };
-            self.suspects.take(self.at(at_ms), work, told);
+            self.suspects.apply(self.at(at_ms), work, event);
         }
     }
 }
@@ -323,15 +323,18 @@
     fixture.crash_twice(WORK, 100);
     assert!(matches!(fixture.admit(300), Admission::Refused(_)));
     let now = fixture.at(300);
-    assert_eq!(fixture.suspects.admit(now, request(9)), Admission::Free);
-    assert!(fixture.suspects.may_be_repeated(request(9)));
-    let answered = WorkTold::Answered { sent_ms: 50 };
+    assert_eq!(
+        fixture.suspects.admit(now, request(9)),
+        Admission::Unrestricted
+    );
+    assert!(fixture.suspects.may_be_retried(request(9)));
+    let answered = WorkEvent::Answered { sent_ms: 50 };
     for count in 0..10 {
         let now = fixture.at(400 + 1_000 * count);
-        fixture.suspects.take(now, request(9), answered);
+        fixture.suspects.apply(now, request(9), answered);
     }
     assert!(
-        !fixture.suspects.may_be_repeated(WORK),
+        !fixture.suspects.may_be_retried(WORK),
         "an answer clears only its own request"
     );
 }
@@ -344,18 +347,18 @@
     let now = fixture.at(500);
     let wait = refused_ms(fixture.suspects.admit(now, request(10)));
     assert_eq!(wait, Some(jittered_ms(5)));
-    assert!(!fixture.suspects.may_be_repeated(request(10)));
-    assert_eq!(fixture.suspects.admit(now, OTHER), Admission::Free);
+    assert!(!fixture.suspects.may_be_retried(request(10)));
+    assert_eq!(fixture.suspects.admit(now, OTHER), Admission::Unrestricted);
     // A trial with another path meets the same fault.
     let over = fixture.at(501 + jittered_ms(5));
     assert_eq!(fixture.suspects.admit(over, request(10)), Admission::Trial);
     assert!(refused_ms(fixture.suspects.admit(over, request(11))).is_some());
-    let told = WorkTold::Ended {
+    let event = WorkEvent::Crashed {
         start: 1_000,
         sent_ms: 0,
-        ended_ms: 0,
+        crashed_ms: 0,
     };
-    fixture.suspects.take(over, request(10), told);
+    fixture.suspects.apply(over, request(10), event);
     let wait = refused_ms(fixture.suspects.admit(over, request(11)));
     assert_eq!(wait, Some(jittered_ms(20)));
 }
@@ -364,29 +367,34 @@
 fn an_answer_for_an_object_between_two_refused_requests_keeps_it_served() {
     let mut fixture = Fixture::new();
     fixture.crash_twice(WORK, 100);
-    let answered = WorkTold::Answered { sent_ms: 50 };
-    fixture.suspects.take(fixture.at(300), request(9), answered);
+    let answered = WorkEvent::Answered { sent_ms: 50 };
+    fixture
+        .suspects
+        .apply(fixture.at(300), request(9), answered);
     fixture.crash_twice(request(10), 400);
     let now = fixture.at(600);
-    assert_eq!(fixture.suspects.admit(now, request(11)), Admission::Free);
+    assert_eq!(
+        fixture.suspects.admit(now, request(11)),
+        Admission::Unrestricted
+    );
 }
 
 #[test]
 fn a_queued_request_is_not_sent_once_its_work_is_refused() {
     let mut fixture = Fixture::new();
     let blocked_ms = |fixture: &Fixture, ms, known| {
-        let blocked_for = fixture.suspects.barred_for(fixture.at(ms), WORK, known);
+        let blocked_for = fixture.suspects.blocked_for(fixture.at(ms), WORK, known);
         blocked_for.map(|time| time.as_millis() as u64)
     };
     fixture.crash(1, 0, 100);
-    assert_eq!(fixture.admit(110), Admission::Free);
-    let known = fixture.suspects.ends_of(WORK);
+    assert_eq!(fixture.admit(110), Admission::Unrestricted);
+    let known = fixture.suspects.crash_count_of(WORK);
     assert_eq!(blocked_ms(&fixture, 110, known), None);
     fixture.crash(2, 110, 200);
     assert_eq!(blocked_ms(&fixture, 200, known), Some(jittered_ms(5)));
     let over = 201 + jittered_ms(5);
     assert_eq!(fixture.admit(over), Admission::Trial);
-    let known = fixture.suspects.ends_of(WORK);
+    let known = fixture.suspects.crash_count_of(WORK);
     assert_eq!(
         blocked_ms(&fixture, over, known),
         None,
@@ -404,7 +412,7 @@
 #[test]
 fn an_isolated_host_admits_no_trial_unless_it_is_the_only_host() {
     let mut fixture = Fixture::new();
-    fixture.suspects.compared(fixture.at(0));
+    fixture.suspects.note_synced(fixture.at(0));
     fixture.crash(1, 0, 100);
     fixture.crash(2, 110, 200);
     let over = 201 + jittered_ms(5);
@@ -412,7 +420,7 @@
     fixture.suspects.note_alone();
     assert_eq!(fixture.admit(over), Admission::Trial);
     let heard = over + 3_001;
-    fixture.suspects.compared(fixture.at(heard));
+    fixture.suspects.note_synced(fixture.at(heard));
     assert_eq!(fixture.admit(heard), Admission::Trial);
 }
 
@@ -421,13 +429,13 @@
     let mut fixture = Fixture::new();
     fixture.crash_twice(WORK, 100);
     let before = fixture.suspects.states(fixture.at(300));
-    let cleared = WorkTold::Cleared;
+    let cleared = WorkEvent::Cleared;
     let now = fixture.at(400);
-    assert!(fixture.suspects.take(now, WORK, cleared));
+    assert!(fixture.suspects.apply(now, WORK, cleared));
     for state in &before {
         fixture.suspects.merge(fixture.at(500), state);
     }
-    assert_eq!(fixture.admit(600), Admission::Free);
+    assert_eq!(fixture.admit(600), Admission::Unrestricted);
     let mut other = Suspects::new("h2");
     for state in before {
         other.merge(fixture.at(500), &state);
@@ -440,7 +448,7 @@
     for state in fixture.suspects.states(fixture.at(700)) {
         other.merge(fixture.at(700), &state);
     }
-    assert_eq!(other.admit(fixture.at(800), WORK), Admission::Free);
+    assert_eq!(other.admit(fixture.at(800), WORK), Admission::Unrestricted);
     let now = fixture.at(800);
     assert_eq!(other.digest(now), fixture.suspects.digest(now));
 }
@@ -451,14 +459,14 @@
     fixture.crash_twice(WORK, 100);
     let mut other = Suspects::new("h2");
     let now = fixture.at(400);
-    assert!(fixture.suspects.take(now, WORK, WorkTold::Cleared));
-    for (start, ended_ms) in [(50, 1_000), (51, 1_200)] {
-        let told = WorkTold::Ended {
+    assert!(fixture.suspects.apply(now, WORK, WorkEvent::Cleared));
+    for (start, crashed_ms) in [(50, 1_000), (51, 1_200)] {
+        let event = WorkEvent::Crashed {
             start,
             sent_ms: 100,
-            ended_ms: 0,
+            crashed_ms: 0,
         };
-        other.take(fixture.at(ended_ms), WORK, told);
+        other.apply(fixture.at(crashed_ms), WORK, event);
     }
     for state in fixture.suspects.states(fixture.at(1_300)) {
         other.merge(fixture.at(1_300), &state);
@@ -478,7 +486,7 @@
     let mut fixture = Fixture::new();
     fixture.crash_twice(WORK, 100);
     let now = fixture.at(400);
-    assert!(fixture.suspects.take(now, WORK, WorkTold::Cleared));
+    assert!(fixture.suspects.apply(now, WORK, WorkEvent::Cleared));
     fixture.crash(3, 500, 600);
     let missed_the_answer = fixture.suspects.states(fixture.at(700));
     assert!(fixture.answer(800));
@@ -488,7 +496,7 @@
     fixture.crash(4, 1_000, 1_100);
     assert_eq!(
         fixture.admit(1_200),
-        Admission::Free,
+        Admission::Unrestricted,
         "the two crashes are not consecutive"
     );
 }
--- a/crates/steering/tests/route_suspects_hosts.rs
+++ b/crates/steering/tests/route_suspects_hosts.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use steering::route::{Admission, Suspects, WorkIdentity, WorkParts, WorkTold};
+use steering::route::{Admission, Suspects, WorkEvent, WorkIdentity, WorkParts};
 
 const HOSTS: usize = 9;
 const DURATION_MS: u64 = 60_000;
@@ -51,7 +51,7 @@
 struct Message {
     to: usize,
     work: WorkIdentity,
-    told: WorkTold,
+    event: WorkEvent,
     sent_ms: u64,
     at_ms: u64,
 }
@@ -128,7 +128,7 @@
             return;
         }
         let now = self.at(ms);
-        self.hosts[host].compared(now);
+        self.hosts[host].note_synced(now);
         if self.hosts[host].digest(now) == self.hosts[other].digest(now) {
             return;
         }
@@ -157,8 +157,8 @@
         let now = self.at(ms);
         match self.hosts[host].admit(now, work) {
             Admission::Refused(_) => return,
-            Admission::Trial => self.broadcast(host, ms, work, WorkTold::Tried),
-            Admission::Free => {}
+            Admission::Trial => self.broadcast(host, ms, work, WorkEvent::TrialStarted),
+            Admission::Unrestricted => {}
         }
         self.send(host, ms, work, crashes, 1);
     }
@@ -187,36 +187,36 @@
         self.in_flight = left;
         for request in finished {
             let sent_ms = (ms - request.sent_ms) as u32;
-            let told = match request.crashes {
-                true => WorkTold::Ended {
+            let event = match request.crashes {
+                true => WorkEvent::Crashed {
                     start: request.start,
                     sent_ms,
-                    ended_ms: 0,
+                    crashed_ms: 0,
                 },
-                false => WorkTold::Answered { sent_ms },
+                false => WorkEvent::Answered { sent_ms },
             };
             let now = self.at(ms);
-            if self.hosts[request.host].take(now, request.work, told) {
-                self.broadcast(request.host, ms, request.work, told);
+            if self.hosts[request.host].apply(now, request.work, event) {
+                self.broadcast(request.host, ms, request.work, event);
             }
             if request.crashes {
                 self.crashes_ms.push(ms);
-                let may_be_repeated = self.hosts[request.host].may_be_repeated(request.work);
-                if request.attempt < ATTEMPTS && may_be_repeated {
+                let may_be_retried = self.hosts[request.host].may_be_retried(request.work);
+                if request.attempt < ATTEMPTS && may_be_retried {
                     self.send(request.host, ms, request.work, true, request.attempt + 1);
                 }
             }
         }
     }
 
-    fn broadcast(&mut self, from: usize, ms: u64, work: WorkIdentity, told: WorkTold) {
+    fn broadcast(&mut self, from: usize, ms: u64, work: WorkIdentity, event: WorkEvent) {
         for to in (0..HOSTS).filter(|to| *to != from) {
             let at_ms = ms + self.rng.random_range(DELIVERY_MS);
             if !self.is_cut_off(from, ms) {
                 self.messages.push(Message {
                     to,
                     work,
-                    told,
+                    event,
                     sent_ms: ms,
                     at_ms,
                 });
@@ -234,11 +234,11 @@
             if self.is_cut_off(message.to, ms) {
                 continue;
             }
-            let told = message
-                .told
-                .later(Duration::from_millis(ms - message.sent_ms));
+            let event = message
+                .event
+                .aged_by(Duration::from_millis(ms - message.sent_ms));
             let now = self.at(ms);
-            self.hosts[message.to].take(now, message.work, told);
+            self.hosts[message.to].apply(now, message.work, event);
         }
     }
 
--- a/crates/steering/tests/route_suspects_innocent.rs
+++ b/crates/steering/tests/route_suspects_innocent.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use steering::route::{Admission, Suspects, WorkIdentity, WorkKey, WorkTold};
+use steering::route::{Admission, Suspects, WorkEvent, WorkIdentity, WorkKey};
 
 const UPSTREAMS: usize = 24;
 const OBJECTS: u64 = 40;
@@ -75,7 +75,7 @@
                 return;
             }
             Admission::Trial => {}
-            Admission::Free => self.end_refusal(ms, work),
+            Admission::Unrestricted => self.end_refusal(ms, work),
         }
         let live: Vec<usize> = (0..UPSTREAMS).filter(|u| self.starts[*u].1 <= ms).collect();
         let upstream = live[self.rng.random_range(0..live.len())];
@@ -103,11 +103,11 @@
                 sent.into_iter().partition(|s| s.done_ms <= ms);
             self.in_flight[upstream] = left;
             for sent in done {
-                let told = WorkTold::Answered {
+                let event = WorkEvent::Answered {
                     sent_ms: (ms - sent.at_ms) as u32,
                 };
                 let work = WorkIdentity::named(sent.work);
-                self.suspects.take(self.at(ms), work, told);
+                self.suspects.apply(self.at(ms), work, event);
             }
         }
     }
@@ -119,13 +119,13 @@
             self.starts[upstream] = (number + 1, ms + pattern.down_ms);
             let start = number * UPSTREAMS as u64 + upstream as u64;
             for sent in std::mem::take(&mut self.in_flight[upstream]) {
-                let told = WorkTold::Ended {
+                let event = WorkEvent::Crashed {
                     start,
                     sent_ms: (ms - sent.at_ms) as u32,
-                    ended_ms: 0,
+                    crashed_ms: 0,
                 };
                 let work = WorkIdentity::named(sent.work);
-                self.suspects.take(self.at(ms), work, told);
+                self.suspects.apply(self.at(ms), work, event);
             }
         }
     }
--- a/crates/steering/tests/route_suspects_merge.rs
+++ b/crates/steering/tests/route_suspects_merge.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
-use steering::route::{Suspects, WorkIdentity, WorkTold};
+use steering::route::{Suspects, WorkEvent, WorkIdentity};
 
 const HOSTS: usize = 3;
 
@@ -13,29 +13,29 @@
 struct Step {
     host: usize,
     request: u64,
-    told: WorkTold,
+    event: WorkEvent,
     after_ms: u64,
 }
 
-fn told() -> impl Strategy<Value = WorkTold> {
+fn event() -> impl Strategy<Value = WorkEvent> {
     prop_oneof![
-        4 => (0..40u64, 0..500u32).prop_map(|(start, sent_ms)| WorkTold::Ended {
+        4 => (0..40u64, 0..500u32).prop_map(|(start, sent_ms)| WorkEvent::Crashed {
             start,
             sent_ms,
-            ended_ms: 0,
+            crashed_ms: 0,
         }),
-        2 => (0..500u32).prop_map(|sent_ms| WorkTold::Answered { sent_ms }),
-        1 => Just(WorkTold::Tried),
-        1 => Just(WorkTold::Cleared),
-        1 => Just(WorkTold::Refused),
+        2 => (0..500u32).prop_map(|sent_ms| WorkEvent::Answered { sent_ms }),
+        1 => Just(WorkEvent::TrialStarted),
+        1 => Just(WorkEvent::Cleared),
+        1 => Just(WorkEvent::Refused),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    (0..HOSTS, 0..4u64, told(), 0..3_000u64).prop_map(|(host, request, told, after_ms)| Step {
+    (0..HOSTS, 0..4u64, event(), 0..3_000u64).prop_map(|(host, request, event, after_ms)| Step {
         host,
         request,
-        told,
+        event,
         after_ms,
     })
 }
@@ -52,7 +52,7 @@
             request: step.request,
             object: 100 + step.request % 2,
         };
-        hosts[step.host].take(now, work, step.told);
+        hosts[step.host].apply(now, work, step.event);
     }
     for _ in 0..HOSTS {
         for host in 0..HOSTS {
--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steering::route::{Answered, Condition};
-use steering::statement::{Obstacle, Stated};
+use steering::statement::{ActiveStatements, Obstacle};
 
 const MS: Duration = Duration::from_millis(1);
 const REST: Duration = Duration::from_secs(3);
@@ -77,7 +77,7 @@
     #[case] ends: Duration,
 ) {
     let now = Instant::now();
-    let mut stated = Stated::default();
+    let mut stated = ActiveStatements::default();
     stated.rest(now, first);
     stated.rest(now + after, second);
     assert!(matches!(
@@ -106,10 +106,10 @@
     condition.stated.rest(now, REST);
     let over = now + REST;
     let trial = send(&mut condition, over);
-    assert_eq!(condition.obstacle(over), Some(Obstacle::Returns));
+    assert_eq!(condition.obstacle(over), Some(Obstacle::TrialPending));
     answer(&mut condition, earlier, over + MS, Answered::Whole);
     let still = condition.obstacle(over + MS);
-    assert_eq!(still, Some(Obstacle::Returns), "an earlier answer");
+    assert_eq!(still, Some(Obstacle::TrialPending), "an earlier answer");
     let ended = over + WORK;
     if let Some(rest) = rest {
         condition.stated.rest(ended, rest);
@@ -153,9 +153,9 @@
 #[case::replaced(Obstacle::Replaced, true)]
 #[case::leaves(Obstacle::Leaves, true)]
 #[case::rests(Obstacle::Rests(MS), true)]
-#[case::is_itself_the_first(Obstacle::Returns, false)]
+#[case::is_itself_the_first(Obstacle::TrialPending, false)]
 #[case::failed(Obstacle::Failed, false)]
 #[case::silent(Obstacle::Silent, false)]
 fn what_is_stated_bars_what_was_chosen_before(#[case] obstacle: Obstacle, #[case] bars: bool) {
-    assert_eq!(obstacle.bars_chosen(), bars);
+    assert_eq!(obstacle.blocks_chosen_request(), bars);
 }
--- a/crates/upstream/src/rest.rs
+++ b/crates/upstream/src/rest.rs
@@ -4,11 +4,11 @@
 
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
-use steering::statement::RestAsked;
+use steering::statement::RequestedRest;
 
 /// The longest rest that a refusal asks for (RFC 9110, 10.2.3); none where it asks for none.
 /// Other answers carry that header for callers.
-pub fn rest_asked(status: StatusCode, headers: &HeaderMap) -> Option<RestAsked> {
+pub fn rest_asked(status: StatusCode, headers: &HeaderMap) -> Option<RequestedRest> {
     let refuses = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -19,7 +19,7 @@
 
 /// Seconds, with or without a fraction. Dates are not read: the clocks of two machines may
 /// differ by more than a rest lasts.
-fn seconds(value: &HeaderValue) -> RestAsked {
+fn seconds(value: &HeaderValue) -> RequestedRest {
     let text = value.to_str().unwrap_or_default();
     let is_plain = text
         .bytes()
@@ -27,8 +27,8 @@
     match text.parse::<f64>() {
         // What no duration can hold is as long as one can be.
         Ok(seconds) if is_plain => {
-            RestAsked::For(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
+            RequestedRest::For(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
         }
-        _ => RestAsked::Unreadable,
+        _ => RequestedRest::Unreadable,
     }
 }
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -5,7 +5,7 @@
 
 use rand::seq::IndexedRandom;
 use steering::ids::{HostName, Incarnation};
-use steering::limiter::{LOAN_LAPSE, LimitKey, Roster, Units, Want};
+use steering::limiter::{LOAN_LAPSE, LimitKey, LoanDemand, Roster, Units};
 use steering::membership::HostEntry;
 use tokio::task::spawn_local;
 
@@ -27,11 +27,11 @@
         loop {
             timer.tick().await;
             tick = tick.wrapping_add(1);
-            let short = self.shared.ledger().short();
+            let short = self.shared.ledger().take_refusals();
             for (key, refused) in short {
                 let others = self.zone_others();
                 if let Some(lender) = others.choose(&mut rand::rng()) {
-                    let want = Want::More(refused.max(LEAST_WANTED));
+                    let want = LoanDemand::More(refused.max(LEAST_WANTED));
                     self.spawn_ask(key, &lender.name, want);
                 }
             }
@@ -44,12 +44,16 @@
     fn renew(self: &Rc<Self>) {
         let loans = self.shared.ledger().loans(clock::now());
         for loan in loans {
-            let want = if loan.needed { Want::Same } else { Want::Less };
+            let want = if loan.needed {
+                LoanDemand::Same
+            } else {
+                LoanDemand::Less
+            };
             self.spawn_ask(loan.limit, &loan.lender, want);
         }
     }
 
-    fn spawn_ask(self: &Rc<Self>, key: LimitKey, lender: &str, want: Want) {
+    fn spawn_ask(self: &Rc<Self>, key: LimitKey, lender: &str, want: LoanDemand) {
         let others = self.zone_others();
         if let Some(lender) = others.into_iter().find(|host| host.name == lender) {
             let control = Rc::clone(self);
@@ -57,7 +61,7 @@
         }
     }
 
-    async fn ask(&self, key: &LimitKey, lender: &HostEntry, want: Want) {
+    async fn ask(&self, key: &LimitKey, lender: &HostEntry, want: LoanDemand) {
         let now = clock::now();
         let request = self.shared.ledger().request(now, key, &lender.name, want);
         let Some(request) = request else {
