--- a/crates/steering/src/route/allowance/bound.rs
+++ b/crates/steering/src/route/allowance/bound.rs
@@ -1,29 +1,29 @@
-//! How many tokens an allowance is.
+//! Conversion of an allowance into a token bucket.
 
 use std::time::Duration;
 
 use crate::route::customer::Allowance;
 
-/// Share of what may run in a window besides the steady rate that is lent out. Requests are
-/// counted where they run, so those that one window sends may run in the next.
+/// Fraction of the permitted excess over the steady rate that is lent out. Requests are counted
+/// when they run, so requests sent in one window may run in the next.
 const USED_SHARE: f64 = 0.85;
-/// Least depth of a bucket, as the time in which the rate fills it: requests come in bunches,
-/// and a token that waits at a host is of no use to another.
-const DEPTH_LEAST: Duration = Duration::from_millis(500);
+/// Minimum depth of a bucket, given as the time in which the rate fills it. Requests come in
+/// bursts, and a token held by one host is of no use to another.
+const MIN_DEPTH_TIME: Duration = Duration::from_millis(500);
 
-/// What operators say of all allowances.
+/// How far a customer's requests may exceed the allowance; set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AllowanceTolerance {
-    /// Span over which requests are counted.
+    /// Window over which requests are counted.
     pub window: Duration,
-    /// Share by which a count may be above the allowance.
+    /// Fraction by which the count may exceed the allowance.
     pub over_share: f64,
-    /// Requests besides by which it may.
+    /// Number of requests by which the count may exceed the allowance in addition.
     pub over_requests: f64,
 }
 
 impl Default for AllowanceTolerance {
-    /// To the letter, over some seconds.
+    /// No excess over a window of 5 s.
     fn default() -> Self {
         AllowanceTolerance {
             window: Duration::from_secs(5),
@@ -33,26 +33,28 @@
     }
 }
 
-/// A customer's token bucket, of all hosts together.
+/// Token bucket of a customer, shared by all hosts.
 ///
-/// Requests that run in a window are at most the tokens that there were at its start, which
-/// `depth` bounds, and those that came up in it.
+/// The requests that run in a window are at most the tokens at its start, which `depth` bounds,
+/// plus the tokens added during the window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBound {
-    /// Tokens that come up in a second.
+    /// Tokens added per second.
     pub per_s: f64,
-    /// Most tokens at a time, lent ones included.
+    /// Maximum number of tokens, including lent ones.
     pub depth: f64,
 }
 
 impl TokenBound {
-    /// The bucket that keeps an allowance.
-    pub fn new(allowance: &Allowance, terms: &AllowanceTolerance) -> Self {
-        let window_s = terms.window.as_secs_f64();
-        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over_share);
-        let depth = (most + terms.over_requests - allowance.per_s * window_s) * USED_SHARE;
-        let least = (allowance.per_s * DEPTH_LEAST.as_secs_f64()).max(1.0);
-        let lacking = (least - depth).max(0.0);
+    /// The bucket that enforces `allowance` within `tolerance`.
+    pub fn new(allowance: &Allowance, tolerance: &AllowanceTolerance) -> Self {
+        let window_s = tolerance.window.as_secs_f64();
+        let max_requests =
+            (allowance.per_s * window_s + allowance.burst) * (1.0 + tolerance.over_share);
+        let depth =
+            (max_requests + tolerance.over_requests - allowance.per_s * window_s) * USED_SHARE;
+        let min_depth = (allowance.per_s * MIN_DEPTH_TIME.as_secs_f64()).max(1.0);
+        let lacking = (min_depth - depth).max(0.0);
         TokenBound {
             per_s: (allowance.per_s - lacking / window_s).max(0.0),
             depth: depth + lacking,
--- a/crates/steering/src/route/allowance/lease.rs
+++ b/crates/steering/src/route/allowance/lease.rs
@@ -1,104 +1,114 @@
-//! A host's tokens for one customer.
+//! The tokens that a host holds for one customer.
 
 use std::time::{Duration, Instant};
 
 use super::KEEP_ALIVE;
 use super::message::{TokenDemand, TokenGrant};
 
-/// Span for whose requests tokens are held ahead: some answers from far regions.
-const AHEAD: Duration = Duration::from_millis(400);
-/// Share of the time until all that waited would have been served after which a pool that had
-/// no token is asked again. Callers come back after all of it; with it before, a pool at eight
-/// times its allowance lent 85 of 100 of its tokens (played in `tests/route_allowance.rs`).
-const DRY_SHARE: f64 = 0.25;
-/// Tokens that a host holds for a customer whose requests its zone's hosts ask it for: as many
-/// as may come together. Where the bucket is smaller the pool lends fewer.
-const SPARED_AT_ONCE: u32 = 4;
-/// Time without a request of a customer after which its tokens are given back.
+/// Time span for whose expected requests tokens are held in advance: several round trips to far
+/// regions.
+const PREFETCH_SPAN: Duration = Duration::from_millis(400);
+/// Fraction of the time until all waiting requests could be served, after which the pool is asked
+/// again. Callers return after the whole time. When the pool was asked only then as well, a pool
+/// under eight times its allowance lent only 85 % of its tokens (simulated in
+/// `tests/route_allowance.rs`).
+const RETRY_FRACTION: f64 = 0.25;
+/// Tokens that a host holds for a customer on behalf of its zone, enough for requests that arrive
+/// together. If the bucket is smaller, the pool lends fewer.
+const ZONE_RESERVE: u32 = 4;
+/// Time without requests of a customer after which its tokens are returned.
 const IDLE_AFTER: Duration = Duration::from_secs(6);
-/// Weight of the newest span in a customer's rate.
+/// Weight of the latest span in the moving average of a customer's request rate.
 const NEWEST_WEIGHT: f64 = 0.5;
-/// Shortest span over which a rate is taken.
-const SPAN_LEAST: Duration = Duration::from_millis(200);
+/// Minimum span over which a request rate is measured.
+const MIN_RATE_SPAN: Duration = Duration::from_millis(200);
 
-/// What becomes of a request that takes a token.
+/// Result of a request's attempt to take a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TakeResult {
-    /// It has one.
+    /// The request has a token.
     Taken,
-    /// There is none for so long.
+    /// The allowance is used up for this long.
     Exhausted(Duration),
-    /// It must be asked for.
+    /// A token must be requested from another host.
     Wait,
 }
 
-/// A customer whose allowance is used up.
+/// State of a customer whose allowance is used up.
 #[derive(Debug)]
-struct Dry {
+struct Exhaustion {
     /// Until when the pool is not asked again.
     until: Instant,
-    /// When there would have been a token for each request that waited.
+    /// When there would be a token for each request that waited.
     all_served_at: Instant,
 }
 
-/// A host's tokens for a customer.
+/// The tokens of one customer.
 #[derive(Debug, Default)]
 pub(super) struct Lease {
     tokens: u32,
-    /// Tokens that the pool takes to be lent: all that are held, and some that are spent.
+    /// Tokens that the pool counts as lent: those held, and some that are spent since the last
+    /// request to the pool.
     lent: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a token.
     waiting: u32,
-    /// Tokens for requests that wait, of the pool or of another host of the zone.
-    spared: u32,
-    dry: Option<Dry>,
-    last_request: Option<Instant>,
-    /// Requests since the rate was last taken, and when that was.
+    /// Tokens for requests that wait, from the pool or from another host of the zone.
+    reserved: u32,
+    exhaustion: Option<Exhaustion>,
+    last_request_at: Option<Instant>,
+    /// Requests since the rate was last measured, and the time of that measurement.
     requests: u32,
-    rate_taken: Option<Instant>,
+    rate_measured_at: Option<Instant>,
     rate_per_s: f64,
 }
 
 impl Lease {
-    /// Tokens to hold for the requests to come. A host that others of its zone ask (`spares`)
-    /// holds some also for customers whose requests are rare.
-    pub fn wanted(&self, now: Instant, spares: bool) -> u32 {
+    /// Number of tokens to hold for expected requests. A zone lender also holds some for customers
+    /// whose requests are rare.
+    pub fn prefetch_target(&self, now: Instant, is_zone_lender: bool) -> u32 {
         let idle = |at: Instant| now.saturating_duration_since(at) > IDLE_AFTER;
-        let ahead = self.rate_per_s * AHEAD.as_secs_f64();
-        match self.last_request {
-            Some(at) if !idle(at) && spares => SPARED_AT_ONCE + ahead.ceil() as u32,
+        let ahead = self.rate_per_s * PREFETCH_SPAN.as_secs_f64();
+        match self.last_request_at {
+            Some(at) if !idle(at) && is_zone_lender => ZONE_RESERVE + ahead.ceil() as u32,
             Some(at) if !idle(at) => ahead.floor() as u32,
             _ => 0,
         }
     }
 
-    /// Tokens that requests wait for and that are not there yet.
+    /// Number of tokens missing for requests that wait.
     pub fn lacking(&self) -> u32 {
-        self.waiting.saturating_sub(self.tokens + self.spared)
+        self.waiting.saturating_sub(self.tokens + self.reserved)
     }
 
-    /// Whether so few tokens are left that more are to be asked for: half of what is wanted
-    /// lasts for the time of an answer from a far region.
+    /// Whether more tokens should be requested: half of `wanted` lasts for a round trip to a far
+    /// region.
     pub fn is_low(&self, wanted: u32) -> bool {
         self.tokens * 2 <= wanted && self.tokens < wanted
     }
 
-    fn take_rate(&mut self, now: Instant) {
-        let span = self.rate_taken.map(|at| now.saturating_duration_since(at));
-        if span.is_some_and(|span| span < SPAN_LEAST) {
+    fn update_rate(&mut self, now: Instant) {
+        let span = self
+            .rate_measured_at
+            .map(|at| now.saturating_duration_since(at));
+        if span.is_some_and(|span| span < MIN_RATE_SPAN) {
             return;
         }
         let span_s = span.unwrap_or(KEEP_ALIVE).as_secs_f64();
         let newest = f64::from(self.requests) / span_s;
         self.rate_per_s += NEWEST_WEIGHT * (newest - self.rate_per_s);
         self.requests = 0;
-        self.rate_taken = Some(now);
+        self.rate_measured_at = Some(now);
     }
 
-    /// What is to be said of the customer; none where nothing is.
-    pub fn want(&mut self, now: Instant, customer: &str, spares: bool) -> Option<TokenDemand> {
-        self.take_rate(now);
-        let wanted = self.wanted(now, spares);
+    /// The demand to send to the pool; `None` if there is nothing to report.
+    pub fn demand(
+        &mut self,
+        now: Instant,
+        customer: &str,
+        is_zone_lender: bool,
+    ) -> Option<TokenDemand> {
+        self.update_rate(now);
+        let wanted = self.prefetch_target(now, is_zone_lender);
         if wanted == 0 && self.waiting == 0 {
             self.tokens = 0;
             let lent = std::mem::take(&mut self.lent);
@@ -109,8 +119,8 @@
                 ahead: 0,
             });
         }
-        let lacks = self.lacking() > 0 || self.is_low(wanted);
-        (lacks || self.lent != self.tokens).then(|| TokenDemand {
+        let needs_tokens = self.lacking() > 0 || self.is_low(wanted);
+        (needs_tokens || self.lent != self.tokens).then(|| TokenDemand {
             customer: customer.to_owned(),
             held: self.tokens,
             need: self.lacking(),
@@ -118,83 +128,84 @@
         })
     }
 
-    /// Counts requests that have come.
-    pub fn came(&mut self, now: Instant, requests: u32) {
+    /// Counts new requests.
+    pub fn record_requests(&mut self, now: Instant, requests: u32) {
         self.requests += requests;
-        self.last_request = Some(now);
+        self.last_request_at = Some(now);
     }
 
-    /// A request waits for a token from now on.
-    pub fn wait(&mut self) {
+    /// Adds a waiting request.
+    pub fn add_waiter(&mut self) {
         self.waiting += 1;
     }
 
-    /// A request waits no more; what was spared for it is lost.
-    pub fn leave(&mut self) {
+    /// Removes a waiting request; a token reserved for it is lost.
+    pub fn remove_waiter(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.spared = self.spared.min(self.waiting);
+        self.reserved = self.reserved.min(self.waiting);
     }
 
-    /// Takes a token that is held for a request; `is_good` where those of its pool still are.
-    pub fn try_take(&mut self, now: Instant, is_good: bool) -> TakeResult {
-        if is_good && self.tokens > 0 {
+    /// Takes a held token for a request; `is_valid` says whether the tokens of the pool are still
+    /// valid.
+    pub fn try_take(&mut self, now: Instant, is_valid: bool) -> TakeResult {
+        if is_valid && self.tokens > 0 {
             self.tokens -= 1;
             return TakeResult::Taken;
         }
-        match &self.dry {
-            Some(dry) if dry.until > now => {
-                TakeResult::Exhausted(dry.all_served_at.saturating_duration_since(now))
+        match &self.exhaustion {
+            Some(exhaustion) if exhaustion.until > now => {
+                TakeResult::Exhausted(exhaustion.all_served_at.saturating_duration_since(now))
             }
             _ => TakeResult::Wait,
         }
     }
 
     /// Takes a token for a request that waits.
-    pub fn try_again(&mut self, now: Instant, is_good: bool) -> TakeResult {
-        let taken = match self.spared.checked_sub(1) {
+    pub fn retry(&mut self, now: Instant, is_valid: bool) -> TakeResult {
+        let taken = match self.reserved.checked_sub(1) {
             Some(left) => {
-                self.spared = left;
+                self.reserved = left;
                 TakeResult::Taken
             }
-            None => self.try_take(now, is_good),
+            None => self.try_take(now, is_valid),
         };
         if taken != TakeResult::Wait {
-            self.leave();
+            self.remove_waiter();
         }
         taken
     }
 
-    /// Takes back the token of a request that has not run.
-    pub fn put_back(&mut self) {
+    /// Returns the token of a request that did not run.
+    pub fn give_back(&mut self) {
         self.tokens += 1;
     }
 
-    /// Gives tokens away.
-    pub fn give(&mut self, most: u32) -> u32 {
-        let given = self.tokens.min(most);
-        self.tokens -= given;
-        given
+    /// Removes up to `most` tokens to lend them to another host, and returns their number.
+    pub fn lend(&mut self, most: u32) -> u32 {
+        let lent = self.tokens.min(most);
+        self.tokens -= lent;
+        lent
     }
 
-    /// Takes tokens of another host for requests that wait.
+    /// Adds tokens for requests that wait.
     pub fn accept_zone_loan(&mut self, tokens: u32) {
-        self.spared += tokens.min(self.waiting);
+        self.reserved += tokens.min(self.waiting);
     }
 
-    /// Takes what the pool has lent, in answer to `want`.
-    pub fn take_grant(&mut self, now: Instant, want: &TokenDemand, grant: &TokenGrant) {
+    /// Adds the tokens that the pool lent in answer to `demand`.
+    pub fn take_grant(&mut self, now: Instant, demand: &TokenDemand, grant: &TokenGrant) {
         self.accept_zone_loan(grant.needed);
         self.tokens += grant.ahead;
-        self.lent = want.held + grant.ahead;
-        let dry = Duration::from_millis(grant.retry_after_ms.into());
-        self.dry = (!dry.is_zero()).then(|| Dry {
-            until: now + dry.mul_f64(DRY_SHARE),
-            all_served_at: now + dry,
+        self.lent = demand.held + grant.ahead;
+        let retry_after = Duration::from_millis(grant.retry_after_ms.into());
+        self.exhaustion = (!retry_after.is_zero()).then(|| Exhaustion {
+            until: now + retry_after.mul_f64(RETRY_FRACTION),
+            all_served_at: now + retry_after,
         });
     }
 
-    /// Forgets the tokens of a pool that this host is in no more.
-    pub fn forget_tokens(&mut self) {
+    /// Drops the tokens of a pool that this host has left.
+    pub fn drop_tokens(&mut self) {
         self.tokens = 0;
         self.lent = 0;
     }
--- a/crates/steering/src/route/allowance/leases.rs
+++ b/crates/steering/src/route/allowance/leases.rs
@@ -1,185 +1,185 @@
-//! Tokens that a host holds, and which host it asks for more.
+//! The tokens that a host holds for all customers, and the host that it asks for more.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::GROUPS;
 use super::lease::{Lease, TakeResult};
-use super::membership::{Heard, Membership};
+use super::membership::{Membership, PoolReply};
 use super::message::{TokenDemand, TokenGroup, TokenReply, TokenRequest, ZoneLoan};
 use crate::ids::{CustomerName, HostName};
 use crate::rendezvous;
 
-/// Number of a customer's group.
+/// Number of the group that a customer belongs to.
 pub fn group_of(customer: &str) -> TokenGroup {
     (rendezvous::hash(customer.as_bytes()) % u64::from(GROUPS)) as TokenGroup
 }
 
-/// What a host does next about a group.
+/// Next step of a host for one group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing before this moment, unless a request waits.
+    /// Nothing to do before this time, unless a request waits.
     WaitUntil(Instant),
-    /// It asks a host, which may be itself.
+    /// Send a request to a host, which may be this host itself.
     SendRequest(HostName, TokenRequest),
 }
 
-/// All tokens of a host.
+/// The tokens of a host for all customers.
 #[derive(Debug)]
 pub struct TokenLeases {
     groups: Vec<Membership>,
-    /// Whether other hosts of the zone ask this one first, by group.
-    spares: Vec<bool>,
+    /// By group, whether other hosts of the zone ask this host first.
+    is_zone_lender: Vec<bool>,
     customers: HashMap<CustomerName, Lease>,
 }
 
 impl TokenLeases {
-    /// No tokens.
+    /// Creates an empty collection.
     ///
-    /// An earlier start of this host may still count in a pool. Most often that is the one
-    /// which this start joins, where a host counts once; else its part counts twice until the
-    /// earlier one has lapsed.
+    /// An earlier start of this host may still count in a pool. Usually this start joins the same
+    /// pool, where a host counts once. Otherwise the share counts twice until the membership of
+    /// the earlier start expires.
     pub fn new(now: Instant) -> Self {
         TokenLeases {
             groups: (0..GROUPS).map(|_| Membership::new(now)).collect(),
-            spares: vec![false; usize::from(GROUPS)],
+            is_zone_lender: vec![false; usize::from(GROUPS)],
             customers: HashMap::new(),
         }
     }
 
-    /// Takes a token for a request that has come; one that must wait says so by
-    /// [`TokenLeases::retry`] and [`TokenLeases::cancel_wait`].
+    /// Takes a token for a new request. A request that must wait calls [`TokenLeases::retry`]
+    /// later, and [`TokenLeases::cancel_wait`] if it gives up.
     pub fn take(&mut self, now: Instant, customer: &str) -> TakeResult {
         if !self.customers.contains_key(customer) {
             self.customers.insert(customer.to_owned(), Lease::default());
         }
-        let is_good = self.is_good(now, customer);
+        let is_valid = self.is_valid(now, customer);
         let lease = self.customers.get_mut(customer).expect("it is there");
-        lease.came(now, 1);
-        let taken = lease.try_take(now, is_good);
+        lease.record_requests(now, 1);
+        let taken = lease.try_take(now, is_valid);
         if taken == TakeResult::Wait {
-            lease.wait();
+            lease.add_waiter();
         }
         taken
     }
 
     /// Tries again for a request that waits.
     pub fn retry(&mut self, now: Instant, customer: &str) -> TakeResult {
-        let is_good = self.is_good(now, customer);
+        let is_valid = self.is_valid(now, customer);
         let lease = self.customers.get_mut(customer);
-        lease.map_or(TakeResult::Wait, |lease| lease.try_again(now, is_good))
+        lease.map_or(TakeResult::Wait, |lease| lease.retry(now, is_valid))
     }
 
-    /// A request waits no more.
+    /// Removes a request that waits no longer.
     pub fn cancel_wait(&mut self, customer: &str) {
         if let Some(lease) = self.customers.get_mut(customer) {
-            lease.leave();
+            lease.remove_waiter();
         }
     }
 
-    /// Gives back the token of a request that has not run.
+    /// Returns the token of a request that did not run.
     pub fn give_back(&mut self, now: Instant, customer: &str) {
-        let is_good = self.is_good(now, customer);
-        if let Some(lease) = self.customers.get_mut(customer).filter(|_| is_good) {
-            lease.put_back();
+        let is_valid = self.is_valid(now, customer);
+        if let Some(lease) = self.customers.get_mut(customer).filter(|_| is_valid) {
+            lease.give_back();
         }
     }
 
-    fn is_good(&self, now: Instant, customer: &str) -> bool {
-        self.groups[usize::from(group_of(customer))].is_good(now)
+    fn is_valid(&self, now: Instant, customer: &str) -> bool {
+        self.groups[usize::from(group_of(customer))].is_valid(now)
     }
 
-    /// Whether more tokens of a customer should be asked for now.
+    /// Whether more tokens of a customer should be requested now.
     pub fn runs_low(&self, now: Instant, customer: &str) -> bool {
         let lease = self.customers.get(customer);
-        let spares = self.spares[usize::from(group_of(customer))];
-        lease.is_some_and(|lease| lease.is_low(lease.wanted(now, spares)))
+        let is_zone_lender = self.is_zone_lender[usize::from(group_of(customer))];
+        lease.is_some_and(|lease| lease.is_low(lease.prefetch_target(now, is_zone_lender)))
     }
 
-    /// What to do about a group. `ranked` are the hosts that may keep its pool, this one
-    /// among them, the first to be asked first.
+    /// The next step for a group. `ranked` lists the hosts that may keep its pool, this host among
+    /// them, in order of preference.
     pub fn step(&mut self, now: Instant, group: TokenGroup, ranked: &[&str]) -> LeaseStep {
-        let spares = self.spares[usize::from(group)];
+        let is_zone_lender = self.is_zone_lender[usize::from(group)];
         let membership = &mut self.groups[usize::from(group)];
-        let Some(question) = membership.next(now, ranked) else {
-            return LeaseStep::WaitUntil(membership.counts_until);
+        let Some(request) = membership.next(now, ranked) else {
+            return LeaseStep::WaitUntil(membership.member_until);
         };
-        membership.asks(&question);
-        let is_member = question.confirms.is_some() && membership.is_owner(&question.host);
-        let is_good = membership.is_good(now);
-        let wants = match is_member {
-            true => self.wants(now, group, is_good, spares),
+        membership.record_request(&request);
+        let is_member = request.confirms.is_some() && membership.is_owner(&request.host);
+        let is_valid = membership.is_valid(now);
+        let demands = match is_member {
+            true => self.demands(now, group, is_valid, is_zone_lender),
             false => Vec::new(),
         };
-        let ask = TokenRequest {
+        let token_request = TokenRequest {
             group,
-            confirms: question.confirms,
-            leaves: question.leaves,
-            wants,
+            confirms: request.confirms,
+            leaves: request.leaves,
+            wants: demands,
         };
-        LeaseStep::SendRequest(question.host, ask)
+        LeaseStep::SendRequest(request.host, token_request)
     }
 
-    fn wants(
+    fn demands(
         &mut self,
         now: Instant,
         group: TokenGroup,
-        is_good: bool,
-        spares: bool,
+        is_valid: bool,
+        is_zone_lender: bool,
     ) -> Vec<TokenDemand> {
         let customers = self.customers.iter_mut();
-        let of_group = customers.filter(|(name, _)| group_of(name) == group);
-        let wants = of_group.filter_map(|(name, lease)| {
-            if !is_good {
-                lease.forget_tokens();
+        let in_group = customers.filter(|(name, _)| group_of(name) == group);
+        let demands = in_group.filter_map(|(name, lease)| {
+            if !is_valid {
+                lease.drop_tokens();
             }
-            lease.want(now, name, spares)
+            lease.demand(now, name, is_zone_lender)
         });
-        wants.collect()
+        demands.collect()
     }
 
-    /// Takes an answer to the last question of a group, asked at `asked`; true where this
-    /// host should ask again at once.
+    /// Applies the answer to a group's last request, which was sent at `asked`; true if this host
+    /// should send another request at once.
     pub fn answered(
         &mut self,
         now: Instant,
         asked: Instant,
         host: &str,
-        ask: &TokenRequest,
+        request: &TokenRequest,
         reply: &TokenReply,
     ) -> bool {
-        let membership = &mut self.groups[usize::from(ask.group)];
+        let membership = &mut self.groups[usize::from(request.group)];
         let TokenReply::Granted { stamp, grants } = reply else {
-            membership.no_pool(now, host, ask.leaves);
+            membership.no_pool(now, host, request.leaves);
             return true;
         };
-        let heard = Heard {
+        let reply_times = PoolReply {
             stamp: *stamp,
-            asked,
-            answered: now,
+            asked_at: asked,
+            answered_at: now,
         };
-        if !membership.stamped(host, heard, ask.confirms) {
+        if !membership.record_reply(host, reply_times, request.confirms) {
             return true;
         }
-        for (want, grant) in ask.wants.iter().zip(grants) {
-            if let Some(lease) = self.customers.get_mut(&want.customer) {
-                lease.take_grant(now, want, grant);
+        for (demand, grant) in request.wants.iter().zip(grants) {
+            if let Some(lease) = self.customers.get_mut(&demand.customer) {
+                lease.take_grant(now, demand, grant);
             }
         }
         false
     }
 
-    /// Takes that a host gave no answer.
+    /// Records that a host did not answer.
     pub fn unanswered(&mut self, now: Instant, host: &str, group: TokenGroup) {
         self.groups[usize::from(group)].unanswered(now, host);
     }
 
-    /// Notes whether other hosts of the zone ask this one first for a group's tokens.
-    pub fn set_zone_lender(&mut self, group: TokenGroup, spares: bool) {
-        self.spares[usize::from(group)] = spares;
+    /// Sets whether other hosts of the zone ask this host first for a group's tokens.
+    pub fn set_zone_lender(&mut self, group: TokenGroup, is_zone_lender: bool) {
+        self.is_zone_lender[usize::from(group)] = is_zone_lender;
     }
 
-    /// Requests of a group that wait for tokens, by customer.
+    /// Number of requests in a group that wait for tokens, by customer.
     pub fn waiting(&self, group: TokenGroup) -> Vec<(CustomerName, u32)> {
         let customers = self.customers.iter();
         let waiting =
@@ -188,47 +188,47 @@
         waiting.collect()
     }
 
-    /// Gives tokens to requests that wait at another host of the zone.
+    /// Lends tokens to requests that wait at another host of the zone.
     pub fn lend_to_zone(&mut self, now: Instant, customer: &str, need: u32) -> ZoneLoan {
-        let good_until = self.groups[usize::from(group_of(customer))].good_until;
-        let good_for = good_until.saturating_duration_since(now);
+        let valid_until = self.groups[usize::from(group_of(customer))].valid_until;
+        let valid_for = valid_until.saturating_duration_since(now);
         let lease = self.customers.entry(customer.to_owned()).or_default();
-        lease.came(now, need);
-        let tokens = match good_for.is_zero() {
+        lease.record_requests(now, need);
+        let tokens = match valid_for.is_zero() {
             true => 0,
-            false => lease.give(need),
+            false => lease.lend(need),
         };
         ZoneLoan {
             tokens,
-            good_for_ms: good_for.as_millis() as u32,
+            good_for_ms: valid_for.as_millis() as u32,
         }
     }
 
-    /// Takes what another host of the zone has spared, of which it was asked at `asked`: each
-    /// is for one request that waits. True where that is all that they need.
+    /// Adds the tokens that another host of the zone lent in answer to a request sent at `asked`,
+    /// each for one waiting request. True if no waiting request lacks a token.
     pub fn accept_zone_loan(
         &mut self,
         now: Instant,
         asked: Instant,
         customer: &str,
-        spared: &ZoneLoan,
+        loan: &ZoneLoan,
     ) -> bool {
         let Some(lease) = self.customers.get_mut(customer) else {
             return true;
         };
-        let good_until = asked + Duration::from_millis(spared.good_for_ms.into());
-        if now < good_until {
-            lease.accept_zone_loan(spared.tokens);
+        let valid_until = asked + Duration::from_millis(loan.good_for_ms.into());
+        if now < valid_until {
+            lease.accept_zone_loan(loan.tokens);
         }
         lease.lacking() == 0
     }
 
-    /// Forgets customers that are no more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.customers.retain(|name, _| is_there(name));
+    /// Drops customers that no longer exist.
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.customers.retain(|name, _| exists(name));
     }
 
-    /// Hosts in whose pools this host's part counts.
+    /// The hosts in whose pools this host's share counts.
     pub fn owners(&self) -> impl Iterator<Item = &HostName> {
         self.groups.iter().filter_map(|group| group.owner.as_ref())
     }
--- a/crates/steering/src/route/allowance/message.rs
+++ b/crates/steering/src/route/allowance/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other about allowances.
+//! Messages between hosts about allowances.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,53 +7,53 @@
 /// Number of a group of customers.
 pub type TokenGroup = u16;
 
-/// A moment of a pool's own steady clock.
+/// An instant on the monotonic clock of a pool's host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolTime {
-    /// Start of the pool's host.
+    /// Incarnation of the pool's host.
     pub incarnation: Incarnation,
-    /// Time since the pool began, in microseconds.
+    /// Time since the pool was created, in microseconds.
     pub at_us: u64,
 }
 
-/// A host's question to the host of a pool.
+/// Request of a host to the host that keeps a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
     /// The group of customers.
     pub group: TokenGroup,
-    /// Time of the last answer. With it the asker's part counts in this pool; without it
-    /// the asker only wants to hear whether there is one.
+    /// Time stamp of the last answer, if it is recent. With a stamp the sender's share counts in
+    /// this pool; without one the sender only asks whether there is a pool.
     pub confirms: Option<PoolTime>,
-    /// Whether the asker's part is to count here no more.
+    /// Whether the sender's share stops counting in this pool.
     pub leaves: bool,
-    /// For whom tokens are wanted or given back.
+    /// The customers for whom tokens are needed or returned.
     pub wants: Vec<TokenDemand>,
 }
 
-/// Tokens that a host nearby can spare.
+/// Tokens lent by a host of the same zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLoan {
-    /// How many.
+    /// Number of tokens.
     pub tokens: u32,
-    /// Time for which they are good, in milliseconds.
+    /// Time for which the tokens are valid, in milliseconds.
     pub good_for_ms: u32,
 }
 
-/// Tokens that a host wants for a customer.
+/// A host's demand for tokens of one customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenDemand {
-    /// The customer.
+    /// Name of the customer.
     pub customer: CustomerName,
-    /// Tokens that the host still holds; all others that were lent to it are spent.
+    /// Unused tokens that the host still holds; all others that it was lent are spent.
     pub held: u32,
-    /// Tokens that requests wait for.
+    /// Tokens for requests that wait.
     pub need: u32,
-    /// Tokens that would be of use soon.
+    /// Tokens for requests expected soon.
     pub ahead: u32,
 }
 
 impl TokenDemand {
-    /// The same, without tokens that would be held for requests to come.
+    /// The same demand without tokens for expected requests.
     pub(super) fn without_ahead(&self) -> TokenDemand {
         TokenDemand {
             ahead: 0,
@@ -62,19 +62,19 @@
     }
 }
 
-/// The answer to a question about tokens.
+/// Answer to a request for tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TokenReply {
     /// The host keeps a pool for the group.
     Granted {
-        /// Moment of the answer.
+        /// Time of the answer.
         stamp: PoolTime,
-        /// In the order of the wants.
+        /// One grant per demand, in the same order.
         grants: Vec<TokenGrant>,
     },
-    /// The host keeps none, and counts the asker's part no more.
+    /// The host keeps no pool, and the sender's share does not count there.
     NoPool,
-    /// What it spares, in the order of the question.
+    /// Tokens lent by a host of the same zone, in the order of the request.
     #[serde(rename = "Spared")]
     ZoneLoans(Vec<ZoneLoan>),
 }
@@ -82,12 +82,12 @@
 /// Tokens lent to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenGrant {
-    /// For requests that wait; they are spent at once or lost.
+    /// Tokens for requests that wait; each is spent at once or lost.
     pub needed: u32,
-    /// To be held for requests to come.
+    /// Tokens to hold for expected requests.
     pub ahead: u32,
-    /// Time after which there is one for each request that waits, in milliseconds; 0 where
-    /// all that was needed was lent.
+    /// Time until there is a token for each waiting request, in milliseconds; 0 if all needed
+    /// tokens were lent.
     #[serde(rename = "dry_ms")]
     pub retry_after_ms: u32,
 }
--- a/crates/steering/src/route/allowance/mod.rs
+++ b/crates/steering/src/route/allowance/mod.rs
@@ -1,14 +1,14 @@
-//! Allowances of customers, kept by all hosts together without a coordinator.
+//! Rate limits of customers (allowances), enforced by all hosts together without a coordinator.
 //!
-//! Requests that find no token ask a host of their own zone first, which holds some for all of
-//! them: most wait 1 ms for one in place of 70 ms for a far region.
+//! Each listed host has an equal share of every allowance. A customer's requests come through few
+//! hosts at a time, so hosts pool their shares: for each group of customers they join the pool of
+//! one host, which lends tokens to the hosts that have requests. A host's share counts in one pool
+//! at a time, and a lent token that cannot be accounted for is lost, so the sum stays within the
+//! allowance when hosts are cut off, killed or restarted. A zone or host that is cut off continues
+//! with the shares of its own hosts.
 //!
-//! Each listed host has an equal part of every allowance. A customer's requests come through
-//! few hosts at a time, so hosts pool their parts: for each group of customers they join the
-//! pool of one host, which lends tokens to whoever has requests. A host's part counts in one
-//! pool at a time and a lent token is lost where it can't be accounted for, so the sum holds
-//! whoever is cut off, killed or started anew; a zone or a host that is cut off goes on with
-//! the parts of the hosts in it.
+//! Requests that find no token first ask a host of their own zone, which holds tokens for the
+//! whole zone. Most of them wait 1 ms for a token instead of 70 ms for one from a far region.
 
 mod bound;
 mod lease;
@@ -27,13 +27,14 @@
 
 use std::time::Duration;
 
-/// Pools of a deployment; each customer is in one, by its name. Enough that no host serves
-/// more than some hundred others' questions a second, few enough that a host asks few.
+/// Number of pools in a deployment; a hash of its name assigns each customer to one. This is
+/// enough for no host to serve more than a few hundred requests per second from others, and few
+/// enough for a host to have few pools to ask.
 pub const GROUPS: TokenGroup = 8;
 
-/// Time for which a host counts in a pool after the pool's last answer that it confirms.
-/// Hosts ask each [`KEEP_ALIVE`]; one question may get lost.
-const MEMBER_FOR: Duration = Duration::from_millis(2_500);
+/// Time for which a host stays a member after the last pool answer that it confirmed. Hosts send a
+/// request every [`KEEP_ALIVE`], and one request may get lost.
+const MEMBERSHIP_DURATION: Duration = Duration::from_millis(2_500);
 
-/// Longest time between two questions of a host that stays in a pool.
+/// Maximum interval between two requests of a host that stays in a pool.
 pub const KEEP_ALIVE: Duration = Duration::from_millis(800);
--- a/crates/steering/src/route/allowance/pool.rs
+++ b/crates/steering/src/route/allowance/pool.rs
@@ -1,44 +1,44 @@
-//! A pool of hosts' parts of allowances, as the host that keeps it sees it.
+//! A host's pool of the shares that member hosts have of allowances.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::bound::TokenBound;
 use super::message::{PoolTime, TokenDemand, TokenGrant, TokenGroup, TokenReply, TokenRequest};
-use super::{GROUPS, MEMBER_FOR};
+use super::{GROUPS, MEMBERSHIP_DURATION};
 use crate::ids::{CustomerName, HostName, Incarnation};
 
-/// Share of a bucket that is lent only to requests that wait, not ahead of need.
-const KEPT_SHARE: f64 = 0.25;
-/// Share of a bucket's depth that a pool uses while tokens may be held that an earlier start
-/// of its host lent ahead of need, which never were more than the rest of the depth.
-const YOUNG_SHARE: f64 = KEPT_SHARE;
-/// Least and longest time after which a request that found no token is worth another try.
-const DRY_LEAST: Duration = Duration::from_millis(50);
-const DRY_MOST: Duration = Duration::from_secs(5);
+/// Fraction of a bucket that is reserved for requests that wait, and not lent in advance.
+const RESERVED_SHARE: f64 = 0.25;
+/// Fraction of a bucket's depth that a new pool uses while hosts may still hold tokens that an
+/// earlier start of its host lent in advance. Such tokens never exceed the remaining depth.
+const STARTUP_SHARE: f64 = RESERVED_SHARE;
+/// Bounds of the time after which a request that found no token should be retried.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(50);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
-/// The pools that one host keeps, one for each group of which it is asked.
+/// The pools that one host keeps, one per group that other hosts asked for.
 #[derive(Debug)]
 pub struct TokenPool {
     incarnation: Incarnation,
     started: Instant,
-    /// Until when tokens may be held that an earlier start lent.
-    young_until: Instant,
+    /// Until when hosts may hold tokens that an earlier start of this host lent.
+    startup_until: Instant,
     is_closed: bool,
     groups: HashMap<TokenGroup, Group>,
 }
 
-/// Until when each host's part counts in a pool.
+/// Until when each host's share counts in a pool.
 type Members = HashMap<HostName, Instant>;
 
 #[derive(Debug)]
 struct Group {
     members: Members,
-    /// Share of the allowances that these parts are.
+    /// Combined share of the members, as a fraction of each allowance.
     share: f64,
-    /// Seconds of a whole allowance that have come up so far.
-    come_up_s: f64,
-    counted_at: Instant,
+    /// Accrued time, weighted by `share`: a bucket gains this many seconds of the full rate.
+    accrued_s: f64,
+    accrued_at: Instant,
     buckets: HashMap<CustomerName, Bucket>,
 }
 
@@ -46,20 +46,20 @@
 struct Bucket {
     /// Tokens that are not lent.
     free: f64,
-    /// [`Group::come_up_s`] when they were last counted.
-    counted_s: f64,
-    /// Tokens lent to each member; those that it has spent since its last question included.
+    /// [`Group::accrued_s`] at the last accrual of this bucket.
+    settled_s: f64,
+    /// Tokens lent to each member, including those spent since its last request.
     lent: HashMap<HostName, u32>,
 }
 
 impl Bucket {
-    /// Counts what has come up, and forgets what was lent to hosts that are no members any more.
-    fn settle(&mut self, members: &Members, come_up_s: f64, share: f64, bound: &TokenBound) {
+    /// Adds the tokens gained since the last call, and drops what was lent to former members.
+    fn accrue(&mut self, members: &Members, accrued_s: f64, share: f64, bound: &TokenBound) {
         self.lent.retain(|host, _| members.contains_key(host));
         let lent: f64 = self.lent.values().map(|tokens| f64::from(*tokens)).sum();
-        let come_up = (come_up_s - self.counted_s) * bound.per_s;
-        self.counted_s = come_up_s;
-        self.free = (self.free + come_up)
+        let gained = (accrued_s - self.settled_s) * bound.per_s;
+        self.settled_s = accrued_s;
+        self.free = (self.free + gained)
             .min(bound.depth * share - lent)
             .max(0.0);
     }
@@ -67,29 +67,29 @@
     fn lend(
         &mut self,
         from: &str,
-        want: &TokenDemand,
+        demand: &TokenDemand,
         share: f64,
         bound: &TokenBound,
     ) -> TokenGrant {
-        let needed = (self.free.floor() as u32).min(want.need);
-        let spare = self.free - f64::from(needed) - bound.depth * share * KEPT_SHARE;
-        let ahead = (spare.max(0.0).floor() as u32).min(want.ahead);
+        let needed = (self.free.floor() as u32).min(demand.need);
+        let unreserved = self.free - f64::from(needed) - bound.depth * share * RESERVED_SHARE;
+        let ahead = (unreserved.max(0.0).floor() as u32).min(demand.ahead);
         self.free -= f64::from(needed + ahead);
-        self.lent.insert(from.to_owned(), want.held + ahead);
+        self.lent.insert(from.to_owned(), demand.held + ahead);
         TokenGrant {
             needed,
             ahead,
-            retry_after_ms: self.retry_after_ms(want.need - needed, bound.per_s * share),
+            retry_after_ms: self.retry_after_ms(demand.need - needed, bound.per_s * share),
         }
     }
 
-    /// Time until as many more tokens have come up as are lacking.
+    /// Time until `lacking` more tokens have accrued, in milliseconds.
     fn retry_after_ms(&self, lacking: u32, per_s: f64) -> u32 {
         if lacking == 0 {
             return 0;
         }
         let seconds = (f64::from(lacking) - self.free) / per_s.max(f64::MIN_POSITIVE);
-        let seconds = seconds.clamp(DRY_LEAST.as_secs_f64(), DRY_MOST.as_secs_f64());
+        let seconds = seconds.clamp(MIN_RETRY_WAIT.as_secs_f64(), MAX_RETRY_WAIT.as_secs_f64());
         (seconds * 1_000.0) as u32
     }
 }
@@ -99,21 +99,21 @@
         Group {
             members: HashMap::new(),
             share: 0.0,
-            come_up_s: 0.0,
-            counted_at: now,
+            accrued_s: 0.0,
+            accrued_at: now,
             buckets: HashMap::new(),
         }
     }
 
-    /// Counts what has come up, with the share that held until now.
-    fn settle(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.counted_at);
-        self.come_up_s += passed.as_secs_f64() * self.share;
-        self.counted_at = now;
+    /// Accrues time up to `now` with the share that was valid until now.
+    fn accrue(&mut self, now: Instant) {
+        let passed = now.saturating_duration_since(self.accrued_at);
+        self.accrued_s += passed.as_secs_f64() * self.share;
+        self.accrued_at = now;
     }
 
-    /// Changes the share. Where it falls, no bucket keeps more than its new depth: the parts
-    /// that went away fill buckets elsewhere.
+    /// Changes the share. If it falls, all buckets are cut to their new depth at once, since the
+    /// shares that left fill buckets elsewhere.
     fn set_share(&mut self, share: f64, bound: &dyn Fn(&str) -> Option<TokenBound>) {
         if share < self.share {
             for (customer, bucket) in &mut self.buckets {
@@ -121,60 +121,62 @@
                     per_s: 0.0,
                     depth: 0.0,
                 });
-                bucket.settle(&self.members, self.come_up_s, share, &bound);
+                bucket.accrue(&self.members, self.accrued_s, share, &bound);
             }
         }
         self.share = share;
     }
 
-    /// Lends to a member what it wants, where there is so much.
-    fn lend(&mut self, from: &str, want: &TokenDemand, bound: &TokenBound) -> TokenGrant {
-        let bucket = self.buckets.entry(want.customer.clone()).or_default();
-        bucket.lent.insert(from.to_owned(), want.held);
-        bucket.settle(&self.members, self.come_up_s, self.share, bound);
-        bucket.lend(from, want, self.share, bound)
+    /// Lends the tokens that a member needs, as far as there are any.
+    fn lend(&mut self, from: &str, demand: &TokenDemand, bound: &TokenBound) -> TokenGrant {
+        let bucket = self.buckets.entry(demand.customer.clone()).or_default();
+        bucket.lent.insert(from.to_owned(), demand.held);
+        bucket.accrue(&self.members, self.accrued_s, self.share, bound);
+        bucket.lend(from, demand, self.share, bound)
     }
 }
 
 impl TokenPool {
-    /// Of a host that started at `started`; `may_have_lent` where an earlier start of it may
-    /// have lent tokens shortly before.
+    /// Creates the pools of a host that started at `started`; `may_have_lent` if an earlier start
+    /// of this host may have lent tokens shortly before.
     pub fn new(incarnation: Incarnation, started: Instant, may_have_lent: bool) -> Self {
-        let lapse = if may_have_lent {
-            MEMBER_FOR
+        let startup = if may_have_lent {
+            MEMBERSHIP_DURATION
         } else {
             Duration::ZERO
         };
         TokenPool {
             incarnation,
             started,
-            young_until: started + lapse,
+            startup_until: started + startup,
             is_closed: false,
             groups: HashMap::new(),
         }
     }
 
-    /// Lends no more from now on, for good.
+    /// Stops lending permanently.
     pub fn close(&mut self) {
         self.is_closed = true;
         self.groups.clear();
     }
 
-    /// Answers a host's question. `hosts` are all that have a part of each allowance; none
-    /// while they are not known. `counts` tells whether the asker is one of them: else it gets
-    /// tokens of the others for requests that wait, and adds none. `bound` is a customer's
-    /// bucket; none where it has no bound, or is not known.
+    /// Answers a host's request.
+    ///
+    /// `hosts` is the number of hosts with a share of each allowance; `None` while it is unknown.
+    /// `has_share` says whether the sender is one of them; a sender without a share gets tokens
+    /// only for requests that wait. `bound` returns a customer's bucket; `None` if the customer
+    /// has no allowance or is unknown.
     pub fn handle_request(
         &mut self,
         now: Instant,
         from: &str,
-        counts: bool,
-        ask: &TokenRequest,
+        has_share: bool,
+        request: &TokenRequest,
         hosts: Option<usize>,
         bound: &dyn Fn(&str) -> Option<TokenBound>,
     ) -> TokenReply {
-        let Some(hosts) = hosts.filter(|_| !self.is_closed && ask.group < GROUPS) else {
-            if let Some(group) = self.groups.get_mut(&ask.group) {
+        let Some(hosts) = hosts.filter(|_| !self.is_closed && request.group < GROUPS) else {
+            if let Some(group) = self.groups.get_mut(&request.group) {
                 group.members.remove(from);
             }
             return TokenReply::NoPool;
@@ -184,38 +186,38 @@
             incarnation: self.incarnation,
             at_us: since_start.as_micros() as u64,
         };
-        let until = self.counts_until(ask);
-        let young = if now < self.young_until {
-            YOUNG_SHARE
+        let until = self.member_until(request);
+        let usable_share = if now < self.startup_until {
+            STARTUP_SHARE
         } else {
             1.0
         };
         let bound = &|customer: &str| {
             let bound = bound(customer)?;
-            let depth = (bound.depth * young).max(1.0);
+            let depth = (bound.depth * usable_share).max(1.0);
             Some(TokenBound { depth, ..bound })
         };
-        let group = self.groups.entry(ask.group);
+        let group = self.groups.entry(request.group);
         let group = group.or_insert_with(|| Group::new(now));
-        group.settle(now);
+        group.accrue(now);
         group.members.retain(|_, until| *until > now);
-        let joins = until.filter(|until| *until > now && !ask.leaves);
+        let joins = until.filter(|until| *until > now && !request.leaves);
         match joins {
-            Some(until) if counts => drop(group.members.insert(from.to_owned(), until)),
-            _ if ask.leaves || !counts => drop(group.members.remove(from)),
+            Some(until) if has_share => drop(group.members.insert(from.to_owned(), until)),
+            _ if request.leaves || !has_share => drop(group.members.remove(from)),
             _ => {}
         }
         let share = group.members.len() as f64 / hosts.max(1) as f64;
         group.set_share(share.min(1.0), bound);
-        if ask.leaves {
+        if request.leaves {
             return TokenReply::NoPool;
         }
         let is_member = group.members.contains_key(from);
-        let is_guest = joins.is_some() && !counts;
+        let is_guest = joins.is_some() && !has_share;
         let lends = is_member || is_guest;
-        let lend = |want: &TokenDemand| match bound(&want.customer).filter(|_| lends) {
-            Some(bound) if is_member => group.lend(from, want, &bound),
-            Some(bound) => group.lend(from, &want.without_ahead(), &bound),
+        let lend = |demand: &TokenDemand| match bound(&demand.customer).filter(|_| lends) {
+            Some(bound) if is_member => group.lend(from, demand, &bound),
+            Some(bound) => group.lend(from, &demand.without_ahead(), &bound),
             None => TokenGrant {
                 needed: 0,
                 ahead: 0,
@@ -224,21 +226,22 @@
         };
         TokenReply::Granted {
             stamp,
-            grants: ask.wants.iter().map(lend).collect(),
+            grants: request.wants.iter().map(lend).collect(),
         }
     }
 
-    /// Forgets customers that are no more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
+    /// Drops customers that no longer exist.
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         for group in self.groups.values_mut() {
-            group.buckets.retain(|customer, _| is_there(customer));
+            group.buckets.retain(|customer, _| exists(customer));
         }
     }
 
-    /// Until when the asker's part counts by this question.
-    fn counts_until(&self, ask: &TokenRequest) -> Option<Instant> {
-        let confirmed = ask.confirms?;
-        let is_own = confirmed.incarnation == self.incarnation;
-        is_own.then(|| self.started + Duration::from_micros(confirmed.at_us) + MEMBER_FOR)
+    /// Until when the sender's share counts according to this request.
+    fn member_until(&self, request: &TokenRequest) -> Option<Instant> {
+        let confirmed = request.confirms?;
+        let is_same_start = confirmed.incarnation == self.incarnation;
+        is_same_start
+            .then(|| self.started + Duration::from_micros(confirmed.at_us) + MEMBERSHIP_DURATION)
     }
 }
--- a/crates/steering/src/route/limit/asks.rs
+++ b/crates/steering/src/route/limit/holder_selector.rs
@@ -1,4 +1,4 @@
-//! Which holder of a limit a host asks next.
+//! Selection of the limit holder that a host asks next.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,29 +7,29 @@
 use crate::ids::HostName;
 use crate::rendezvous;
 
-/// Time for which a holder that gave no answer, or holds no part, is not asked.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(2);
-/// Time after which a host may try again that knows of no holder.
+/// Time for which a holder that did not answer, or holds no share, is not asked again.
+const SKIP_DURATION: Duration = Duration::from_secs(2);
+/// Retry time of a host that knows of no holder.
 const NO_HOLDER_WAIT: Duration = Duration::from_millis(500);
-/// Time for which a holder that was asked is likely to be asked again.
-const ASKED_LATELY: Duration = Duration::from_secs(10);
+/// Time after the last request for which a holder counts as in use by this host.
+const RECENTLY_ASKED: Duration = Duration::from_secs(10);
 
-/// What a host knows of the holders that it asks for tokens.
+/// Chooses the holder to ask for a token, and remembers which holders had none.
 #[derive(Debug, Default)]
 pub struct HolderSelector {
-    /// Until when a holder has no token of a start.
-    put_off: HashMap<(String, HostName), Instant>,
-    /// When each holder was last asked.
-    asked: HashMap<HostName, Instant>,
+    /// Until when a holder has no token for an upstream start.
+    exhausted_until: HashMap<(String, HostName), Instant>,
+    /// Time of the last request to each holder.
+    last_asked: HashMap<HostName, Instant>,
 }
 
 impl HolderSelector {
-    /// The holder to ask for a token of `start`: this host itself where it is one, else one
-    /// after the other, hosts beginning at different ones.
+    /// Returns the holder to ask for a token of `start`: this host if it is a holder, otherwise
+    /// the holders in turn, starting at a different one on each host.
     ///
     /// # Errors
     ///
-    /// None is worth asking for so long.
+    /// The time until a holder is worth asking, if none is now.
     pub fn next<'h>(
         &mut self,
         now: Instant,
@@ -37,20 +37,20 @@
         holders: &[&'h str],
         me: &str,
     ) -> Result<&'h str, Duration> {
-        self.put_off.retain(|_, until| *until > now);
+        self.exhausted_until.retain(|_, until| *until > now);
         if holders.is_empty() {
             return Err(NO_HOLDER_WAIT);
         }
         let first = rendezvous::hash(me.as_bytes()) % holders.len() as u64;
-        let (after, before) = holders.split_at(first as usize);
+        let (later, earlier) = holders.split_at(first as usize);
         let own = holders.iter().filter(|holder| **holder == me);
-        let mut in_turn = own.chain(before).chain(after);
+        let mut in_turn = own.chain(earlier).chain(later);
         let until = |holder: &str| {
             let key = (start.to_owned(), holder.to_owned());
-            self.put_off.get(&key).copied()
+            self.exhausted_until.get(&key).copied()
         };
         if let Some(holder) = in_turn.find(|holder| until(holder).is_none()) {
-            self.asked.insert((*holder).to_owned(), now);
+            self.last_asked.insert((*holder).to_owned(), now);
             return Ok(holder);
         }
         let first = holders.iter().filter_map(|holder| until(holder)).min();
@@ -58,26 +58,26 @@
         Err(wait.max(Duration::from_millis(1)))
     }
 
-    /// Takes a holder's answer, or that none came.
+    /// Records a holder's reply; `None` if it did not answer.
     pub fn answered(&mut self, now: Instant, start: &str, holder: &str, reply: Option<LimitReply>) {
         let wait = match reply {
             Some(LimitReply::Granted) => return,
             Some(LimitReply::Exhausted(ms)) => Duration::from_millis(ms.into()),
-            Some(LimitReply::NotAHolder) | None => PASSED_OVER_FOR,
+            Some(LimitReply::NotAHolder) | None => SKIP_DURATION,
         };
         let key = (start.to_owned(), holder.to_owned());
-        self.put_off.insert(key, now + wait);
+        self.exhausted_until.insert(key, now + wait);
     }
 
-    /// Whether a holder was asked lately.
+    /// Whether a holder was asked recently.
     pub fn asks(&self, now: Instant, holder: &str) -> bool {
-        let at = self.asked.get(holder);
-        at.is_some_and(|at| now.saturating_duration_since(*at) < ASKED_LATELY)
+        let at = self.last_asked.get(holder);
+        at.is_some_and(|at| now.saturating_duration_since(*at) < RECENTLY_ASKED)
     }
 
-    /// Forgets holders that were not asked for long.
+    /// Forgets the holders that were not asked recently.
     pub fn forget_idle(&mut self, now: Instant) {
-        self.asked
-            .retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
+        self.last_asked
+            .retain(|_, at| now.saturating_duration_since(*at) < RECENTLY_ASKED);
     }
 }
--- a/crates/steering/src/route/limit/message.rs
+++ b/crates/steering/src/route/limit/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other about limits that upstreams name.
+//! Messages between hosts about limits that upstreams request.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use crate::ids::ZoneName;
 use crate::route::upstream::UpstreamId;
 
-/// A host's question for one request to an upstream that names a limit. A host that does not
-/// know such questions yet answers none, and counts as silent.
+/// Request for a token for one request to an upstream with a limit. Hosts of versions that do not
+/// know this message do not answer, and are treated as silent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitTokenRequest {
-    /// The upstream.
+    /// Identifier of the upstream.
     pub upstream: UpstreamId,
-    /// Its availability zone, among whose region's hosts the holders are.
+    /// Availability zone of the upstream; the holders are hosts of its region.
     pub zone: ZoneName,
-    /// When this start of it was born, where its report says so.
+    /// Start time of the upstream process in Unix milliseconds, if its report contains one.
     #[serde(rename = "born_ms")]
     pub started_ms: Option<u64>,
-    /// The limit in requests a second, as the asker has last heard it.
+    /// The limit in requests per second, as the sender last received it.
     pub per_s: f64,
-    /// Time since then, in milliseconds.
+    /// Time since the sender received the limit, in milliseconds.
     #[serde(rename = "heard_ms")]
     pub age_ms: u32,
-    /// 1 for the most urgent requests, less for others.
+    /// Urgency of the request: 1 for the most urgent, lower for others.
     pub urgency: f64,
 }
 
 impl LimitTokenRequest {
-    /// The start that is meant, as text.
+    /// Text that identifies the start of the upstream.
     pub fn start(&self) -> String {
         match self.started_ms {
             Some(started_ms) => format!("{} {started_ms}", self.upstream),
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Time since the asker has heard the limit.
+    /// Time since the sender received the limit.
     pub fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms.into())
     }
 }
 
-/// The answer.
+/// Reply to a [`LimitTokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitReply {
     /// The request may be sent now.
     Granted,
-    /// There is no token; one is promised after so many milliseconds.
+    /// There is no token; one is reserved for the sender after this many milliseconds.
     #[serde(rename = "Dry")]
     Exhausted(u32),
-    /// The host holds no part of this limit.
+    /// The host holds no share of this limit.
     #[serde(rename = "NoPart")]
     NotAHolder,
 }
--- a/crates/steering/src/route/suspect/mod.rs
+++ b/crates/steering/src/route/suspect/mod.rs
@@ -2,15 +2,15 @@
 //! refuse such work before it crashes more upstreams.
 
 mod abandoned;
-mod news;
 mod state;
 mod suspects;
 mod suspicion;
+mod update;
 mod work;
 
 pub use abandoned::AbandonedRequests;
-pub use news::{WorkEvent, WorkUpdate};
 pub use state::{WorkDigest, WorkRank, WorkState};
 pub use suspects::{Admission, RefusedWork, Suspects};
 pub use suspicion::CRASHES_TO_REFUSE;
+pub use update::{WorkEvent, WorkUpdate};
 pub use work::{WorkIdentity, WorkKey, WorkParts};
--- a/crates/steering/src/route/suspect/suspects.rs
+++ b/crates/steering/src/route/suspect/suspects.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::news::WorkEvent;
 use super::state::{WorkDigest, WorkState, digest, instant_before};
 use super::suspicion::Suspicion;
+use super::update::WorkEvent;
 use super::work::{WorkIdentity, WorkKey};
 use crate::rendezvous;
 
--- a/crates/steering/tests/route_allowance.rs
+++ b/crates/steering/tests/route_allowance.rs
@@ -1,5 +1,5 @@
-//! Allowances that hosts keep together, played with messages that are late or lost, cuts,
-//! kills and changes of the limit: no network, no clock.
+//! Allowances shared by hosts, simulated with late and lost messages, network partitions, killed
+//! hosts and changed limits, without network or real time.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 };
 
 const TICK: Duration = Duration::from_millis(10);
-/// Longest wait of a caller for an answer; late ones are not heard.
+/// Timeout of a request to another host; later answers are ignored.
 const CALL_LIMIT: Duration = Duration::from_millis(500);
 const CUSTOMER: &str = "huka270";
 const WINDOW: Duration = Duration::from_secs(5);
-const TERMS: AllowanceTolerance = AllowanceTolerance {
+const TOLERANCE: AllowanceTolerance = AllowanceTolerance {
     window: WINDOW,
     over_share: 0.1,
     over_requests: 20.0,
@@ -28,12 +28,12 @@
     incarnation: u64,
     leases: TokenLeases,
     pool: TokenPool,
-    /// The call under way: when it was made, of whom, and what was asked.
+    /// The request in flight: its time, recipient and contents.
     call: Option<(Instant, usize, TokenRequest)>,
     next: Instant,
-    /// Down until then.
+    /// Until when the host is down.
     down: Option<Instant>,
-    /// Side of the cut that it stands on.
+    /// The side of the partition that the host is on.
     side: usize,
 }
 
@@ -42,18 +42,18 @@
     Reply(usize, u64, TokenReply),
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     random: StdRng,
     hosts: Vec<Host>,
-    /// Messages under way: when they come, to whom, from whom.
-    wire: Vec<(Instant, usize, usize, Message)>,
-    /// Until when messages between the sides are held up.
+    /// Messages in flight: time of arrival, recipient, sender, contents.
+    messages: Vec<(Instant, usize, usize, Message)>,
+    /// Until when messages between the sides are lost or delayed.
     cut_until: Instant,
     allowance: Allowance,
     runs: VecDeque<Instant>,
-    most_runs: usize,
-    asks: usize,
+    max_runs: usize,
+    requests: usize,
     refused: usize,
     run: usize,
 }
@@ -71,19 +71,19 @@
     }
 }
 
-impl World {
-    fn new(hosts: usize, allowance: Allowance, seed: u64) -> World {
+impl Simulation {
+    fn new(hosts: usize, allowance: Allowance, seed: u64) -> Simulation {
         let now = Instant::now();
-        World {
+        Simulation {
             now,
             random: StdRng::seed_from_u64(seed),
             hosts: (0..hosts).map(|n| host(n, now, n as u64, false)).collect(),
-            wire: Vec::new(),
+            messages: Vec::new(),
             cut_until: now,
             allowance,
             runs: VecDeque::new(),
-            most_runs: 0,
-            asks: 0,
+            max_runs: 0,
+            requests: 0,
             refused: 0,
             run: 0,
         }
@@ -93,19 +93,20 @@
         self.now < self.cut_until && self.hosts[a].side != self.hosts[b].side
     }
 
-    fn post(&mut self, to: usize, from: usize, message: Message) {
-        let mut comes = self.now + Duration::from_millis(self.random.random_range(0..60));
+    fn send(&mut self, to: usize, from: usize, message: Message) {
+        let mut arrives_at = self.now + Duration::from_millis(self.random.random_range(0..60));
         if self.is_cut(to, from) {
-            // Lost, or held up until the cut heals.
+            // Messages are lost, or delayed until the partition ends.
             if self.random.random_bool(0.5) {
                 return;
             }
-            comes = self.cut_until + Duration::from_millis(self.random.random_range(0..60));
+            arrives_at = self.cut_until + Duration::from_millis(self.random.random_range(0..60));
         }
-        self.wire.push((comes, to, from, message));
+        self.messages.push((arrives_at, to, from, message));
     }
 
-    /// Whom a host may ask, the first first: two for all, itself for a cut.
+    /// The hosts that `me` may ask, in order of preference: two for all hosts, then itself for a
+    /// partition.
     fn ranked(&self, me: usize) -> Vec<String> {
         let names = self.hosts.iter().map(|host| host.name.as_str());
         let ranked = steering::rendezvous::rank(CUSTOMER, names);
@@ -117,8 +118,8 @@
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = self.wire.drain(..).partition(|m| m.0 <= now);
-        self.wire = later;
+        let (due, later): (Vec<_>, Vec<_>) = self.messages.drain(..).partition(|m| m.0 <= now);
+        self.messages = later;
         for (_, to, from, message) in due {
             self.deliver(to, from, message);
         }
@@ -135,7 +136,7 @@
             Message::Ask(number, incarnation, ask) => {
                 let reply = self.reply(to, from, &ask);
                 let message = Message::Reply(number, incarnation, reply);
-                self.post(from, to, message);
+                self.send(from, to, message);
             }
             Message::Reply(number, incarnation, reply) => {
                 let host = &mut self.hosts[to];
@@ -152,7 +153,7 @@
     }
 
     fn reply(&mut self, to: usize, from: usize, ask: &TokenRequest) -> TokenReply {
-        let bound = TokenBound::new(&self.allowance, &TERMS);
+        let bound = TokenBound::new(&self.allowance, &TOLERANCE);
         let hosts = self.hosts.len();
         let asker = self.hosts[from].name.clone();
         let pool = &mut self.hosts[to].pool;
@@ -202,31 +203,31 @@
                     }
                 } else {
                     host.call = Some((now, number, ask.clone()));
-                    self.post(number, me, Message::Ask(number, incarnation, ask));
+                    self.send(number, me, Message::Ask(number, incarnation, ask));
                 }
             }
         }
     }
 
-    /// A request of the customer at a host; one that finds no token in time is refused.
+    /// A request of the customer at a host; it is refused if it finds no token in time.
     fn request(&mut self, at: usize) {
         if self.hosts[at].down.is_some() {
             return;
         }
-        self.asks += 1;
+        self.requests += 1;
         let host = &mut self.hosts[at];
         match host.leases.take(self.now, CUSTOMER) {
             TakeResult::Taken => self.run(),
             TakeResult::Exhausted(_) => self.refused += 1,
             TakeResult::Wait => {
-                // The driver of the test looks again in its next steps.
+                // [`Simulation::retry_waiting`] retries it in the next ticks.
                 host.next = self.now;
             }
         }
     }
 
-    /// Looks again for requests that wait.
-    fn look_again(&mut self, waiting: &mut Vec<(usize, u64, Instant)>) {
+    /// Retries the requests that wait.
+    fn retry_waiting(&mut self, waiting: &mut Vec<(usize, u64, Instant)>) {
         let now = self.now;
         let mut left = Vec::new();
         for (at, incarnation, since) in waiting.drain(..) {
@@ -253,21 +254,22 @@
         while self.runs.front().is_some_and(|at| *at + WINDOW < self.now) {
             self.runs.pop_front();
         }
-        self.most_runs = self.most_runs.max(self.runs.len());
+        self.max_runs = self.max_runs.max(self.runs.len());
     }
 
-    fn most(&self) -> f64 {
+    fn max_allowed(&self) -> f64 {
         let Allowance { per_s, burst } = self.allowance;
-        (per_s * WINDOW.as_secs_f64() + burst) * (1.0 + TERMS.over_share) + TERMS.over_requests
+        (per_s * WINDOW.as_secs_f64() + burst) * (1.0 + TOLERANCE.over_share)
+            + TOLERANCE.over_requests
     }
 
-    /// Plays requests at a rate for a time, spread over hosts by chance.
-    fn play(&mut self, per_s: f64, seconds: u64, trouble: impl Fn(&mut World)) {
+    /// Sends requests at a rate for a time, spread randomly over the hosts.
+    fn run_requests(&mut self, per_s: f64, seconds: u64, disturb: impl Fn(&mut Simulation)) {
         let end = self.now + Duration::from_secs(seconds);
         let mut waiting: Vec<(usize, u64, Instant)> = Vec::new();
         let mut due = 0.0;
         while self.now < end {
-            trouble(self);
+            disturb(self);
             self.tick();
             due += per_s * TICK.as_secs_f64();
             while due >= 1.0 {
@@ -280,7 +282,7 @@
                     self.hosts[at].next = self.now;
                 }
             }
-            self.look_again(&mut waiting);
+            self.retry_waiting(&mut waiting);
         }
     }
 }
@@ -289,22 +291,23 @@
     Allowance { per_s, burst }
 }
 
-/// Kills, cuts and heals by chance, some ten a minute.
-fn any_trouble(world: &mut World) {
-    if world.random.random_bool(0.002) {
-        let count = world.random.random_range(1..=world.hosts.len());
-        let down = world.now + Duration::from_millis(world.random.random_range(300..3_000));
+/// Randomly kills hosts and starts partitions, about ten times per minute.
+fn random_disturbance(simulation: &mut Simulation) {
+    if simulation.random.random_bool(0.002) {
+        let count = simulation.random.random_range(1..=simulation.hosts.len());
+        let down =
+            simulation.now + Duration::from_millis(simulation.random.random_range(300..3_000));
         for _ in 0..count {
-            let at = world.random.random_range(0..world.hosts.len());
-            world.hosts[at].down.get_or_insert(down);
+            let at = simulation.random.random_range(0..simulation.hosts.len());
+            simulation.hosts[at].down.get_or_insert(down);
         }
     }
-    if world.random.random_bool(0.002) && world.now >= world.cut_until {
-        for at in 0..world.hosts.len() {
-            world.hosts[at].side = world.random.random_range(0..3);
+    if simulation.random.random_bool(0.002) && simulation.now >= simulation.cut_until {
+        for at in 0..simulation.hosts.len() {
+            simulation.hosts[at].side = simulation.random.random_range(0..3);
         }
-        let lasts = Duration::from_millis(world.random.random_range(500..9_000));
-        world.cut_until = world.now + lasts;
+        let duration = Duration::from_millis(simulation.random.random_range(500..9_000));
+        simulation.cut_until = simulation.now + duration;
     }
 }
 
@@ -313,15 +316,21 @@
 #[case::small(allowance(8.0, 8.0), 9)]
 #[case::many_hosts(allowance(40.0, 40.0), 40)]
 #[case::no_burst(allowance(100.0, 0.0), 9)]
-fn what_runs_never_exceeds_the_allowance(#[case] allowance: Allowance, #[case] hosts: usize) {
+fn requests_that_run_never_exceed_the_allowance(
+    #[case] allowance: Allowance,
+    #[case] hosts: usize,
+) {
     for seed in 0..12 {
-        let mut world = World::new(hosts, allowance, seed);
-        // Calm, then eight times the usual.
-        world.play(allowance.per_s * 0.6, 4, any_trouble);
-        world.play(allowance.per_s * 5.0, 30, any_trouble);
-        let (runs, most) = (world.most_runs as f64, world.most());
-        assert!(runs <= most, "seed {seed}: {runs} of {most} in a window");
-        assert!(world.run > 0);
+        let mut simulation = Simulation::new(hosts, allowance, seed);
+        // First below the allowance, then five times the allowance.
+        simulation.run_requests(allowance.per_s * 0.6, 4, random_disturbance);
+        simulation.run_requests(allowance.per_s * 5.0, 30, random_disturbance);
+        let (runs, allowed) = (simulation.max_runs as f64, simulation.max_allowed());
+        assert!(
+            runs <= allowed,
+            "seed {seed}: {runs} of {allowed} in a window"
+        );
+        assert!(simulation.run > 0);
     }
 }
 
@@ -330,60 +339,65 @@
 #[case::small(allowance(8.0, 8.0), 9, 0.97)]
 #[case::large_at_many_hosts(allowance(411.0, 411.0), 60, 0.99)]
 #[case::small_at_many_hosts(allowance(8.0, 8.0), 60, 0.95)]
-fn what_is_allowed_is_served_while_all_is_calm(
+fn requests_within_the_allowance_are_served_without_disturbances(
     #[case] allowance: Allowance,
     #[case] hosts: usize,
     #[case] share: f64,
 ) {
-    let mut world = World::new(hosts, allowance, 1);
-    world.play(0.0, 6, |_| {});
-    world.play(allowance.per_s * 0.63, 20, |_| {});
-    let served = world.run as f64 / world.asks as f64;
-    assert!(served >= share, "{} of {} served", world.run, world.asks);
+    let mut simulation = Simulation::new(hosts, allowance, 1);
+    simulation.run_requests(0.0, 6, |_| {});
+    simulation.run_requests(allowance.per_s * 0.63, 20, |_| {});
+    let served = simulation.run as f64 / simulation.requests as f64;
+    assert!(
+        served >= share,
+        "{} of {} served",
+        simulation.run,
+        simulation.requests
+    );
 }
 
 #[test]
-fn beyond_the_allowance_most_of_it_is_served() {
+fn overload_uses_most_of_the_allowance() {
     let allowance = allowance(100.0, 100.0);
-    let mut world = World::new(9, allowance, 1);
-    world.play(0.0, 6, |_| {});
-    world.play(800.0, 20, |_| {});
-    let served = world.run as f64 / 20.0;
+    let mut simulation = Simulation::new(9, allowance, 1);
+    simulation.run_requests(0.0, 6, |_| {});
+    simulation.run_requests(800.0, 20, |_| {});
+    let served = simulation.run as f64 / 20.0;
     assert!(served > 95.0, "{served} a second");
 }
 
 #[test]
-fn a_side_of_a_cut_goes_on_with_its_part() {
+fn each_side_of_a_partition_continues_with_its_shares() {
     let allowance = allowance(400.0, 400.0);
-    let mut world = World::new(9, allowance, 1);
-    world.play(0.0, 6, |_| {});
+    let mut simulation = Simulation::new(9, allowance, 1);
+    simulation.run_requests(0.0, 6, |_| {});
     for host in 0..9 {
-        world.hosts[host].side = usize::from(host < 3);
+        simulation.hosts[host].side = usize::from(host < 3);
     }
-    world.cut_until = world.now + Duration::from_secs(60);
-    world.play(800.0, 10, |_| {});
-    let run = world.run;
-    world.play(800.0, 10, |_| {});
-    let served = (world.run - run) as f64 / 10.0;
+    simulation.cut_until = simulation.now + Duration::from_secs(60);
+    simulation.run_requests(800.0, 10, |_| {});
+    let run = simulation.run;
+    simulation.run_requests(800.0, 10, |_| {});
+    let served = (simulation.run - run) as f64 / 10.0;
     assert!(served > 200.0, "{served} a second");
-    assert!(world.most_runs as f64 <= world.most());
+    assert!(simulation.max_runs as f64 <= simulation.max_allowed());
 }
 
 #[test]
-fn a_lowered_allowance_binds_at_once() {
-    let mut world = World::new(9, allowance(400.0, 400.0), 1);
-    world.play(0.0, 6, |_| {});
-    world.play(800.0, 10, |_| {});
-    world.allowance = allowance(40.0, 40.0);
-    // What is lent is spent within a second.
-    world.play(800.0, 1, |_| {});
-    world.runs.clear();
-    world.most_runs = 0;
-    world.play(800.0, 20, |_| {});
+fn a_lowered_allowance_applies_at_once() {
+    let mut simulation = Simulation::new(9, allowance(400.0, 400.0), 1);
+    simulation.run_requests(0.0, 6, |_| {});
+    simulation.run_requests(800.0, 10, |_| {});
+    simulation.allowance = allowance(40.0, 40.0);
+    // Lent tokens are spent within a second.
+    simulation.run_requests(800.0, 1, |_| {});
+    simulation.runs.clear();
+    simulation.max_runs = 0;
+    simulation.run_requests(800.0, 20, |_| {});
     assert!(
-        world.most_runs as f64 <= world.most(),
+        simulation.max_runs as f64 <= simulation.max_allowed(),
         "{}",
-        world.most_runs
+        simulation.max_runs
     );
 }
 
@@ -392,30 +406,30 @@
 #[case::small(allowance(1.0, 1.0))]
 #[case::no_burst(allowance(400.0, 0.0))]
 #[case::large_burst(allowance(10.0, 1_000.0))]
-fn a_bucket_keeps_to_the_allowance_in_a_window(#[case] allowance: Allowance) {
+fn a_bucket_stays_within_the_allowance_in_a_window(#[case] allowance: Allowance) {
     let exact = AllowanceTolerance::default();
-    for terms in [TERMS, exact] {
-        let TokenBound { per_s, depth } = TokenBound::new(&allowance, &terms);
-        let window_s = terms.window.as_secs_f64();
-        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + terms.over_share);
+    for tolerance in [TOLERANCE, exact] {
+        let TokenBound { per_s, depth } = TokenBound::new(&allowance, &tolerance);
+        let window_s = tolerance.window.as_secs_f64();
+        let most = (allowance.per_s * window_s + allowance.burst) * (1.0 + tolerance.over_share);
         // A bucket of less than one token would admit nothing.
-        let most = (most + terms.over_requests).max(per_s * window_s + 1.0);
+        let most = (most + tolerance.over_requests).max(per_s * window_s + 1.0);
         assert!(per_s * window_s + depth <= most + 1e-9, "{per_s} {depth}");
         assert!(depth >= 1.0 && per_s > 0.0, "{per_s} {depth}");
     }
 }
 
-/// A host that others do not count asks a pool like its members: it gets of their parts what
-/// its requests wait for, and adds none of its own.
+/// A host without a share gets tokens from the members' shares for its waiting requests, and adds
+/// no share of its own.
 #[test]
-fn who_is_not_counted_is_lent_tokens_and_adds_none() {
+fn a_host_without_a_share_is_lent_tokens_and_adds_none() {
     let start = Instant::now();
     let bound = TokenBound {
         per_s: 10.0,
         depth: 10.0,
     };
     let mut pool = TokenPool::new(1, start, false);
-    let mut ask = |at: Instant, from: &str, counts: bool, need: u32| {
+    let mut ask = |at: Instant, from: &str, has_share: bool, need: u32| {
         let hosts = Some(2);
         let join = TokenRequest {
             group: group_of(CUSTOMER),
@@ -423,7 +437,7 @@
             leaves: false,
             wants: Vec::new(),
         };
-        let reply = pool.handle_request(at, from, counts, &join, hosts, &|_| Some(bound));
+        let reply = pool.handle_request(at, from, has_share, &join, hosts, &|_| Some(bound));
         let TokenReply::Granted { stamp, .. } = reply else {
             panic!("{reply:?}");
         };
@@ -437,17 +451,17 @@
             }],
             ..join
         };
-        match pool.handle_request(at, from, counts, &want, hosts, &|_| Some(bound)) {
+        match pool.handle_request(at, from, has_share, &want, hosts, &|_| Some(bound)) {
             TokenReply::Granted { grants, .. } => grants[0],
             reply => panic!("{reply:?}"),
         }
     };
     let guest = ask(start, "guest", false, 5);
-    assert_eq!(guest.needed + guest.ahead, 0, "nobody has a part here");
+    assert_eq!(guest.needed + guest.ahead, 0, "the pool has no members yet");
     ask(start, "member", true, 0);
     let later = start + Duration::from_secs(2);
     let guest = ask(later, "guest", false, 8);
-    // One of two hosts counts: half of what has come up since, as deep as half of the whole.
+    // One of two hosts counts, so the pool gains tokens at half the rate, up to half the depth.
     assert_eq!(guest.needed, 5);
-    assert_eq!(guest.ahead, 0, "it holds none");
+    assert_eq!(guest.ahead, 0, "a guest holds no tokens");
 }
