--- a/crates/steering/src/choice/mod.rs
+++ b/crates/steering/src/choice/mod.rs
@@ -1,7 +1,7 @@
-//! The choice of an upstream in a pool, and of a place for a request.
+//! Selection of an upstream in a pool, and of a zone for a request.
 
-mod place;
 mod policy;
+mod zone_candidate;
 
-pub use place::{ZoneCandidate, rank_zones};
 pub use policy::{Candidate, LeastExpected, LeastLoaded, Policy};
+pub use zone_candidate::{ZoneCandidate, rank_zones};
--- a/crates/steering/src/choice/policy.rs
+++ b/crates/steering/src/choice/policy.rs
@@ -1,15 +1,16 @@
-//! Ways to choose an upstream; [`LeastExpected`] ships, [`LeastLoaded`] is its baseline.
+//! Policies for choosing an upstream. [`LeastExpected`] is used in production, [`LeastLoaded`] is
+//! its baseline in comparisons.
 
 use rand::{Rng, RngCore};
 
-/// An upstream as a policy sees it.
+/// An upstream as seen by a policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Requests in flight that are known of or can't be ruled out.
+    /// Requests in flight, including those of other hosts that cannot be ruled out.
     pub in_flight: u32,
-    /// Slots that may be used now; 0 takes no new work.
+    /// Number of slots that may be used now; 0 if the upstream accepts no work.
     pub allowed: u32,
-    /// Smoothed time to first byte in milliseconds; 0 is not known.
+    /// Moving average of the time to first byte, in milliseconds; 0 if unknown.
     pub latency_ms: f64,
 }
 
@@ -24,9 +25,10 @@
     }
 }
 
-/// A way to choose; `None` means that the request should wait.
+/// A policy for choosing an upstream.
 pub trait Policy: Send {
-    /// Index of the chosen candidate; `waiting` requests are queued already.
+    /// Returns the index of the chosen candidate, or `None` if the request should wait. `waiting`
+    /// is the number of requests queued already.
     fn choose(
         &mut self,
         candidates: &[Candidate],
@@ -41,7 +43,7 @@
         .collect()
 }
 
-/// The least loaded by the owner's exact count.
+/// Chooses the upstream with the lowest ratio of requests in flight to slots.
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
@@ -53,17 +55,17 @@
     }
 }
 
-/// The upstream that is expected to answer first; none where waiting for a
-/// faster one is expected to be quicker still.
+/// Chooses the upstream that is expected to answer first, or none if waiting for a faster upstream
+/// is expected to be quicker.
 #[derive(Debug, Default)]
 pub struct LeastExpected;
 
 impl LeastExpected {
     const WAIT_ADVANTAGE: f64 = 1.5;
-    /// Where latencies are not known yet, the less loaded goes first.
-    const LEAST_MS: f64 = 0.001;
+    /// Lower bound of latencies, so that upstreams with unknown latency are compared by load.
+    const MIN_LATENCY_MS: f64 = 0.001;
 
-    /// Expected time of a wait for a slot of the fast upstreams, then the request.
+    /// Expected time to wait for a slot of a faster upstream and run the request there.
     fn wait_then_fast_ms(all: &[Candidate], slow_ms: f64, waiting: usize) -> Option<f64> {
         let faster = || {
             all.iter()
@@ -87,7 +89,8 @@
         waiting: usize,
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let cost = |i: &usize| all[*i].latency_ms.max(Self::LEAST_MS) * (1.0 + all[*i].load());
+        let cost =
+            |i: &usize| all[*i].latency_ms.max(Self::MIN_LATENCY_MS) * (1.0 + all[*i].load());
         let free = with_room(all);
         let best = free
             .iter()
--- a/crates/steering/src/choice/place.rs
+++ b/crates/steering/src/choice/zone_candidate.rs
@@ -4,34 +4,34 @@
 
 use crate::ids::ZoneName;
 
-/// Load over slots from which a place is left out when shares are drawn.
-const FULL: f64 = 1.25;
+/// Load relative to slots from which a zone is excluded when zones are drawn by share.
+const FULL_LOAD: f64 = 1.25;
 
-/// A zone as a place for a service, as believed now.
+/// A zone as a candidate for a request, by this host's latest load reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneCandidate {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneName,
-    /// Share set by a rule, over 0; none where no rule is for the request.
+    /// Weight set by a rule, above 0; `None` if no rule applies to the request.
     pub share: Option<f64>,
-    /// One way from here, in milliseconds.
+    /// One-way network latency from this host, in milliseconds.
     pub one_way_ms: f64,
-    /// Slots that may be used, as believed.
+    /// Number of usable slots, as last reported.
     pub capacity: f64,
-    /// Requests in flight or queued, as believed.
+    /// Number of requests in flight or queued, as last reported.
     pub in_flight: f64,
-    /// Expected time of a request, in milliseconds.
+    /// Expected duration of a request, in milliseconds.
     pub latency_ms: f64,
 }
 
 impl ZoneCandidate {
-    /// Whether more wait than a place should be given by a share.
+    /// Whether the zone is too full to be drawn by share.
     fn is_full(&self) -> bool {
-        self.in_flight >= self.capacity * FULL
+        self.in_flight >= self.capacity * FULL_LOAD
     }
 
-    /// Expected wait for a slot: those over the slots go one after another, each
-    /// a slot's part of a request's time; a busy place has some wait by chance.
+    /// Expected wait for a slot. Requests beyond the slots wait for one another, each for the time
+    /// until one of the slots is free. A zone near its capacity has some wait by chance.
     fn wait_ms(&self) -> f64 {
         let slots = self.capacity.max(1.0);
         let over = (self.in_flight + 1.0 - slots).max(0.0);
@@ -39,18 +39,18 @@
         self.latency_ms / slots * (over + busy.powf(slots.sqrt()))
     }
 
-    /// Expected time to the first byte: both ways, the wait and the request.
+    /// Expected time to the first byte: network round trip, wait and request duration.
     fn cost_ms(&self) -> f64 {
         2.0 * self.one_way_ms + self.latency_ms + self.wait_ms()
     }
 }
 
-/// Indexes of places in the order they should be tried.
+/// Returns the indexes of zones in the order in which they should be tried.
 ///
-/// With shares the first is drawn by share among those with room, and the rest
-/// follow by cost; without, all are in the order of cost. Places without
-/// capacity come last: belief may be wrong, and their owner refuses what it
-/// can't take.
+/// If there are shares, the first zone is drawn by share among those that are not full, and the
+/// others follow by cost. Without shares all are ordered by cost. Zones without capacity come last
+/// instead of being dropped, since the reports may be outdated and the owner of a zone's pool
+/// refuses what it cannot take.
 pub fn rank_zones(views: &[ZoneCandidate], rng: &mut dyn RngCore) -> Vec<usize> {
     let mut order: Vec<usize> = (0..views.len())
         .filter(|i| views[*i].share.is_none_or(|share| share > 0.0))
--- a/crates/steering/src/limiter/escrow.rs
+++ b/crates/steering/src/limiter/escrow.rs
@@ -1,10 +1,10 @@
-//! Parts of a limit that hosts lend each other.
+//! Loans of shares of a limit between hosts.
 //!
-//! A lender subtracts before it answers, a borrower subtracts before it sends
-//! units back, and each pair of hosts numbers its requests, so that a lost, late
-//! or doubled message loses room for a while and never makes any. A loan is good
-//! for new work only for a while after it was asked for; a lender that is gone
-//! renews none, so its part can be given to others once nobody holds of it.
+//! A lender subtracts units before it answers, a borrower subtracts units before it returns them,
+//! and each pair of hosts numbers its requests. So a lost, late or duplicated message can only
+//! make units unavailable for a while, never create any. A loan is valid for new requests only for
+//! a limited time after it was requested. A lender that is gone renews no loans, so its share can
+//! be given to other hosts once no borrower holds units of it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,63 +14,63 @@
 use super::Units;
 use crate::ids::{HostName, Incarnation};
 
-/// Time that a loan is good for new work, from when it was asked for.
+/// Time for which a loan is valid for new requests, counted from the loan request.
 pub const LOAN_LAPSE: Duration = Duration::from_secs(4);
 
-/// A borrower's request; it also says what the borrower still holds.
+/// Loan request, which also states what the borrower still holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Who borrows.
+    /// Name of the borrowing host.
     pub borrower: HostName,
-    /// Its start.
+    /// Incarnation of the borrowing host.
     pub incarnation: Incarnation,
-    /// Counts up with each request to this lender.
+    /// Increases with each request to this lender.
     pub sequence: u64,
-    /// Units that the borrower goes on using meanwhile.
+    /// Units of the current loan that the borrower continues to use.
     pub keep: Units,
-    /// Units that it would like besides.
+    /// Additional units requested.
     pub want: Units,
 }
 
-/// A lender's answer.
+/// Answer to a [`LoanRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanGrant {
-    /// The request that it answers.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// All that the borrower may use from now on.
+    /// Total units that the borrower may use from now on.
     pub total: Units,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Lent {
+struct LentUnits {
     sequence: u64,
-    /// Never below what the borrower believes that it holds.
+    /// Never lower than what the borrower assumes to hold.
     units: Units,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Borrowed {
+struct BorrowedUnits {
     sequence: u64,
-    /// Held, though for new work only until `good_until`.
+    /// Units held; valid for new requests only until `valid_until`.
     units: Units,
-    good_until: Instant,
-    /// When the request was made whose answer is waited for.
-    asked: Option<Instant>,
+    valid_until: Instant,
+    /// Time of the latest request, until its answer arrives.
+    requested_at: Option<Instant>,
 }
 
-/// One host's part of one limit.
+/// One host's share of one limit.
 #[derive(Debug, Clone)]
 pub struct Escrow {
     me: HostName,
     incarnation: Incarnation,
-    /// Units of the limit that are this host's own, by the zone's roster.
+    /// Units of the limit that this host owns according to the zone's roster.
     owned: Units,
-    lent: BTreeMap<(HostName, Incarnation), Lent>,
-    borrowed: BTreeMap<HostName, Borrowed>,
+    lent: BTreeMap<(HostName, Incarnation), LentUnits>,
+    borrowed: BTreeMap<HostName, BorrowedUnits>,
 }
 
 impl Escrow {
-    /// A part of nothing.
+    /// Creates a share without units.
     pub fn new(me: HostName, incarnation: Incarnation) -> Self {
         Escrow {
             me,
@@ -81,34 +81,34 @@
         }
     }
 
-    /// Sets what is this host's own.
+    /// Sets the units that this host owns.
     pub fn set_owned(&mut self, owned: Units) {
         self.owned = owned;
     }
 
-    /// Units of its own that are not lent.
+    /// Owned units that are not lent.
     pub fn own(&self) -> Units {
         self.owned.saturating_sub(self.lent())
     }
 
-    /// Units lent out.
+    /// Units lent to other hosts.
     pub fn lent(&self) -> Units {
         self.lent.values().map(|lent| lent.units).sum()
     }
 
-    /// Units borrowed, lapsed ones included.
+    /// Units borrowed, including those of expired loans.
     pub fn borrowed(&self) -> Units {
         self.borrowed.values().map(|borrowed| borrowed.units).sum()
     }
 
-    /// Units borrowed of one lender, lapsed ones included.
+    /// Units borrowed from one lender, including those of an expired loan.
     pub fn borrowed_of(&self, lender: &str) -> Units {
         self.borrowed
             .get(lender)
             .map_or(0, |borrowed| borrowed.units)
     }
 
-    /// Hosts of which something is borrowed, lapsed loans included.
+    /// Hosts from which units are borrowed, including those of expired loans.
     pub fn lenders(&self) -> impl Iterator<Item = &HostName> {
         let held = self
             .borrowed
@@ -117,40 +117,43 @@
         held.map(|(lender, _)| lender)
     }
 
-    /// Units that this host may use for new work now.
+    /// Units that this host may use for new requests now.
     pub fn available(&self, now: Instant) -> Units {
-        let good = self
+        let valid = self
             .borrowed
             .values()
-            .filter(|borrowed| now < borrowed.good_until);
-        self.own() + good.map(|borrowed| borrowed.units).sum::<Units>()
+            .filter(|borrowed| now < borrowed.valid_until);
+        self.own() + valid.map(|borrowed| borrowed.units).sum::<Units>()
     }
 
-    /// Lets go of lapsed loans once `in_use` fits into what is the host's own.
+    /// Gives up expired loans once `in_use` fits into the owned units.
     pub fn settle(&mut self, now: Instant, in_use: Units) {
         if in_use > self.own() {
             return;
         }
         for borrowed in self.borrowed.values_mut() {
-            if now >= borrowed.good_until {
+            if now >= borrowed.valid_until {
                 borrowed.units = 0;
             }
         }
     }
 
-    /// Makes a request to a lender, giving back all but `keep`.
+    /// Creates a request to a lender that returns all units but `keep`.
     ///
-    /// From this moment the host holds no more than `keep` of that lender.
+    /// From now on this host holds at most `keep` units of that lender.
     pub fn request(&mut self, now: Instant, lender: &str, keep: Units, want: Units) -> LoanRequest {
-        let borrowed = self.borrowed.entry(lender.to_owned()).or_insert(Borrowed {
-            sequence: 0,
-            units: 0,
-            good_until: now,
-            asked: None,
-        });
+        let borrowed = self
+            .borrowed
+            .entry(lender.to_owned())
+            .or_insert(BorrowedUnits {
+                sequence: 0,
+                units: 0,
+                valid_until: now,
+                requested_at: None,
+            });
         borrowed.sequence += 1;
         borrowed.units = borrowed.units.min(keep);
-        borrowed.asked = Some(now);
+        borrowed.requested_at = Some(now);
         LoanRequest {
             borrower: self.me.clone(),
             incarnation: self.incarnation,
@@ -160,18 +163,19 @@
         }
     }
 
-    /// Answers a request, lending at most `spare` more; none where it is late or doubled.
+    /// Answers a request by lending at most `spare` additional units; `None` if the request is
+    /// late or duplicated.
     pub fn lend(&mut self, request: &LoanRequest, spare: Units) -> Option<LoanGrant> {
         let key = (request.borrower.clone(), request.incarnation);
-        let last = self.lent.get(&key).copied().unwrap_or_default();
-        if request.sequence <= last.sequence {
+        let previous = self.lent.get(&key).copied().unwrap_or_default();
+        if request.sequence <= previous.sequence {
             return None;
         }
-        let keep = request.keep.min(last.units);
-        let others = self.lent() - last.units;
+        let keep = request.keep.min(previous.units);
+        let others = self.lent() - previous.units;
         let free = self.owned.saturating_sub(others + keep);
         let units = keep + request.want.min(spare).min(free);
-        let lent = Lent {
+        let lent = LentUnits {
             sequence: request.sequence,
             units,
         };
@@ -182,33 +186,33 @@
         })
     }
 
-    /// Takes an answer; false where it is not to the last request.
+    /// Applies an answer; false if it does not answer the latest request.
     ///
-    /// What was kept stays held even where a later start of the lender knows
-    /// nothing of it: the earlier start's part may not be given away meanwhile.
+    /// Units kept by the request remain held even if a later start of the lender does not know of
+    /// them, since the share of the earlier start may not be given away meanwhile.
     pub fn take(&mut self, lender: &str, grant: &LoanGrant) -> bool {
         let Some(borrowed) = self.borrowed.get_mut(lender) else {
             return false;
         };
-        let Some(asked) = borrowed.asked else {
+        let Some(requested_at) = borrowed.requested_at else {
             return false;
         };
         if borrowed.sequence != grant.sequence {
             return false;
         }
-        borrowed.asked = None;
+        borrowed.requested_at = None;
         if grant.total >= borrowed.units {
             borrowed.units = grant.total;
-            borrowed.good_until = asked + LOAN_LAPSE;
+            borrowed.valid_until = requested_at + LOAN_LAPSE;
         }
         true
     }
 
-    /// A start of a host is certainly gone: what it borrowed is free again.
+    /// Records that a start of a host is certainly gone, which frees the units lent to it.
     pub fn confirm_gone(&mut self, host: &str, incarnation: Incarnation) {
         let lent = self.lent.entry((host.to_owned(), incarnation)).or_default();
         lent.units = 0;
-        // Its late requests must find no room.
+        // Late requests of this start must be refused.
         lent.sequence = u64::MAX;
     }
 }
--- a/crates/steering/src/limiter/in_flight_counter.rs
+++ b/crates/steering/src/limiter/in_flight_counter.rs
@@ -1,8 +1,8 @@
-//! Requests in flight, never above what is allowed.
+//! Admission by the number of requests in flight.
 
 use super::Units;
 
-/// Counts requests in flight against an allowance that may move.
+/// Counts requests in flight against a number of allowed units that may change.
 #[derive(Debug, Clone, Default)]
 pub struct InFlightCounter {
     allowed: Units,
@@ -10,12 +10,12 @@
 }
 
 impl InFlightCounter {
-    /// Sets the allowance; what is in flight stays.
+    /// Sets the allowed units; requests in flight are not affected.
     pub fn allow(&mut self, units: Units) {
         self.allowed = units;
     }
 
-    /// Admits one request where there is room.
+    /// Admits one request if a unit is free.
     pub fn admit(&mut self) -> bool {
         if self.in_flight >= self.allowed {
             return false;
@@ -24,17 +24,17 @@
         true
     }
 
-    /// A request has ended.
+    /// Records the end of a request.
     pub fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Units in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> Units {
         self.in_flight
     }
 
-    /// Units that can be lent or given back without touching what is in flight.
+    /// Units that can be lent or returned without affecting requests in flight.
     pub fn idle(&self) -> Units {
         self.allowed.saturating_sub(self.in_flight)
     }
--- a/crates/steering/src/limiter/ledger.rs
+++ b/crates/steering/src/limiter/ledger.rs
@@ -1,4 +1,4 @@
-//! All limits of a zone as one of its hosts keeps them.
+//! All limits of a zone as enforced by one of its hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -9,28 +9,28 @@
 use super::{Escrow, InFlightCounter, LoanGrant, LoanRequest, RateCounter, Roster, Units};
 use crate::ids::{HostName, Incarnation, RegionName, RuleName};
 
-/// Which limit of a zone.
+/// Identifies a limit of a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKey {
     /// Requests in flight in the zone.
     #[display("zone")]
     Zone,
-    /// The zone's part of its region's limit.
+    /// The zone's share of its region's limit.
     #[display("region")]
     Region,
-    /// The zone's part of the limit on the link from this region.
+    /// The zone's share of the limit on the link from this region.
     #[display("link from {_0}")]
     Link(RegionName),
-    /// The zone's part of the cap of a rule's place, in flight.
+    /// The zone's share of the cap on requests in flight, by rule and index of the rule's place.
     #[display("rule {_0} place {_1} in flight")]
     RuleFlight(RuleName, usize),
-    /// The zone's part of the cap of a rule's place, in any second.
+    /// The zone's share of the cap on requests per second, by rule and index of the rule's place.
     #[display("rule {_0} place {_1} per second")]
     RuleRate(RuleName, usize),
 }
 
-/// What a limit counts.
+/// The quantity that a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitKind {
     /// Requests in flight.
@@ -40,7 +40,7 @@
 }
 
 impl LimitKey {
-    /// What the limit counts.
+    /// The quantity that the limit counts.
     pub fn kind(&self) -> LimitKind {
         match self {
             LimitKey::RuleRate(..) => LimitKind::Rate,
@@ -60,7 +60,7 @@
     units: Units,
     escrow: Escrow,
     count: Count,
-    /// Refusals since the last look, for deciding what to borrow.
+    /// Refusals since the last [`Ledger::take_refusals`], which decide how much to borrow.
     refused: Units,
 }
 
@@ -76,7 +76,7 @@
     }
 
     fn admit(&mut self, now: Instant) -> bool {
-        // A loan may have lapsed since the last look.
+        // A loan may have expired since the last call.
         self.settle(now);
         let admitted = match &mut self.count {
             Count::Flight(flight) => flight.admit(),
@@ -96,38 +96,38 @@
     }
 }
 
-/// What is asked of a lender.
+/// What to request from a lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoanDemand {
-    /// So many units more.
+    /// This many additional units.
     More(Units),
-    /// The same as before, for longer.
+    /// The current loan for longer.
     Same,
-    /// Only what is in use.
+    /// Only the units in use.
     Less,
 }
 
 /// A loan that a host holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldLoan {
-    /// Which limit.
+    /// The limit.
     pub limit: LimitKey,
-    /// Who lent it.
+    /// Name of the lending host.
     pub lender: HostName,
-    /// Whether the limit is used enough to go on with it.
+    /// Whether the limit is used enough to keep the loan.
     pub needed: bool,
 }
 
-/// One limit, for dumps.
+/// State of one limit, for dumps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LedgerEntry {
-    /// Which limit.
+    /// Display form of the [`LimitKey`].
     pub limit: String,
     /// Units of the whole zone.
     pub units: Units,
     /// Units that this host may use.
     pub available: Units,
-    /// Units that it uses.
+    /// Units that this host uses.
     pub used: Units,
     /// Units lent to other hosts.
     pub lent: Units,
@@ -135,7 +135,7 @@
     pub borrowed: Units,
 }
 
-/// All limits of a zone as one of its hosts keeps them.
+/// All limits of a zone as enforced by one of its hosts.
 #[derive(Debug)]
 pub struct Ledger {
     me: HostName,
@@ -144,7 +144,7 @@
 }
 
 impl Ledger {
-    /// No limits.
+    /// Creates a ledger without limits.
     pub fn new(me: HostName, incarnation: Incarnation) -> Self {
         Ledger {
             me,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Takes the zone's limits of a configuration and the parts of a roster.
+    /// Applies the zone's limits of a configuration, and the shares of a roster.
     pub fn configure(&mut self, now: Instant, units: &BTreeMap<LimitKey, Units>, roster: &Roster) {
         self.limits.retain(|key, _| units.contains_key(key));
         for (key, units) in units {
@@ -178,7 +178,8 @@
         self.limits.contains_key(key)
     }
 
-    /// Admits a request under all of `keys`, or names the limit that has no room.
+    /// Admits a request if all limits in `keys` have room; otherwise returns the first limit
+    /// without room.
     pub fn admit(&mut self, now: Instant, keys: &[LimitKey]) -> Result<(), LimitKey> {
         for (i, key) in keys.iter().enumerate() {
             let Some(limit) = self.limits.get_mut(key) else {
@@ -193,7 +194,7 @@
         Ok(())
     }
 
-    /// A request that was admitted has ended.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, keys: &[LimitKey]) {
         for key in keys {
             if let Some(Limit {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A request that was admitted came to nothing.
+    /// Reverts the admission of a request that was not sent.
     pub fn give_back(&mut self, now: Instant, keys: &[LimitKey]) {
         self.release(keys);
         for key in keys {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Limits that refused requests since the last call, with how many.
+    /// Returns the limits that refused requests since the last call, with the number of refusals.
     pub fn take_refusals(&mut self) -> Vec<(LimitKey, Units)> {
         let mut refusals = Vec::new();
         for (key, limit) in &mut self.limits {
@@ -232,7 +233,7 @@
         refusals
     }
 
-    /// Loans that are held, each with whether it is still of use.
+    /// The loans that this host holds, and whether each is still needed.
     pub fn loans(&mut self, now: Instant) -> Vec<HeldLoan> {
         let mut loans = Vec::new();
         for (key, limit) in &mut self.limits {
@@ -247,7 +248,7 @@
         loans
     }
 
-    /// Hosts of which something is borrowed.
+    /// Hosts from which units are borrowed.
     pub fn lenders(&mut self, now: Instant) -> BTreeSet<HostName> {
         self.loans(now)
             .into_iter()
@@ -255,7 +256,7 @@
             .collect()
     }
 
-    /// Makes a request to a lender.
+    /// Creates a request to a lender; `None` if the limit does not exist.
     pub fn request(
         &mut self,
         now: Instant,
@@ -277,8 +278,8 @@
         Some(request)
     }
 
-    /// Answers another host's request with at most half of what is not in use, the
-    /// last unit included: a host that admits nothing needs none.
+    /// Answers another host's request by lending at most half of the unused units, rounded up. A
+    /// single unused unit is lent too, since a host that admits nothing does not need it.
     pub fn lend(
         &mut self,
         now: Instant,
@@ -293,7 +294,7 @@
         grant
     }
 
-    /// Takes a lender's answer.
+    /// Applies a lender's answer; false if it does not answer the latest request.
     pub fn take(&mut self, now: Instant, key: &LimitKey, lender: &str, grant: &LoanGrant) -> bool {
         let Some(limit) = self.limits.get_mut(key) else {
             return false;
@@ -303,7 +304,7 @@
         taken
     }
 
-    /// A start of a host is certainly gone.
+    /// Records that a start of a host is certainly gone.
     pub fn confirm_gone(&mut self, now: Instant, host: &str, incarnation: Incarnation) {
         for limit in self.limits.values_mut() {
             limit.escrow.confirm_gone(host, incarnation);
@@ -311,7 +312,7 @@
         }
     }
 
-    /// The largest part of any limit that is in use, in thousandths of the limit.
+    /// The highest utilisation of any limit, in thousandths of the limit.
     pub fn used_permille(&mut self, now: Instant) -> u32 {
         let used = |limit: &mut Limit| {
             let used = u64::from(limit.used(now) + limit.escrow.lent());
@@ -320,7 +321,7 @@
         self.limits.values_mut().map(used).max().unwrap_or(0)
     }
 
-    /// All limits, for dumps.
+    /// State of all limits, for dumps.
     pub fn entries(&mut self, now: Instant) -> Vec<LedgerEntry> {
         let entry = |(key, limit): (&LimitKey, &mut Limit)| LedgerEntry {
             limit: key.to_string(),
--- a/crates/steering/src/limiter/mod.rs
+++ b/crates/steering/src/limiter/mod.rs
@@ -1,7 +1,8 @@
-//! Limits on a zone that its hosts keep together: caps, place and link limits.
+//! Limits on a zone that its hosts enforce together: caps of rules, limits of zones, regions and
+//! links.
 //!
-//! Each host holds a part. Parts never sum to more than the limit, whatever is
-//! lost, late or repeated between the hosts.
+//! Each host holds a share. The shares never add up to more than the limit, even if messages
+//! between hosts are lost, late or duplicated.
 
 mod escrow;
 mod in_flight_counter;
--- a/crates/steering/src/limiter/rate_counter.rs
+++ b/crates/steering/src/limiter/rate_counter.rs
@@ -1,54 +1,54 @@
-//! Admissions in any second, never above what is allowed.
+//! Admission by the number of requests in any second.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use super::Units;
 
-/// The window that a rate is counted over.
+/// Length of the window over which a rate is counted.
 pub const WINDOW: Duration = Duration::from_secs(1);
 const SLICES: u32 = 20;
 
-/// Counts admissions over a sliding window, in slices of a twentieth of it.
+/// Counts admissions over a sliding window, in slices of a twentieth of the window.
 #[derive(Debug, Clone)]
 pub struct RateCounter {
     start: Instant,
     /// Slice number and admissions, oldest first; all within the window.
     slices: VecDeque<(u64, Units)>,
-    /// Allowed units; a rise counts only from the time beside it.
+    /// Units allowed now; a pending increase is in `increase`.
     allowed: Units,
-    rise: Option<(Instant, Units)>,
+    increase: Option<(Instant, Units)>,
 }
 
 impl RateCounter {
-    /// Nothing is allowed yet.
+    /// Creates a counter that allows no requests.
     pub fn new(now: Instant) -> Self {
         RateCounter {
             start: now,
             slices: VecDeque::new(),
             allowed: 0,
-            rise: None,
+            increase: None,
         }
     }
 
-    /// Sets the units for any second.
+    /// Sets the units allowed in any second.
     ///
-    /// A rise takes force a whole window later: whoever held the units before
-    /// may have used them until now.
+    /// An increase takes effect a whole window later, since the previous holder of the units may
+    /// have used them until now.
     pub fn allow(&mut self, now: Instant, units: Units) {
         self.settle(now);
         if units <= self.allowed {
             self.allowed = units;
-            self.rise = None;
+            self.increase = None;
             return;
         }
-        let pending = self.rise.map(|(_, units)| units);
+        let pending = self.increase.map(|(_, units)| units);
         if pending != Some(units) {
-            self.rise = Some((now + WINDOW + WINDOW / SLICES, units));
+            self.increase = Some((now + WINDOW + WINDOW / SLICES, units));
         }
     }
 
-    /// Admits one request where the window has room.
+    /// Admits one request if the window has a free unit.
     pub fn admit(&mut self, now: Instant) -> bool {
         self.settle(now);
         let used: Units = self.slices.iter().map(|(_, units)| units).sum();
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Takes back an admission that came to nothing.
+    /// Reverts an admission whose request was not sent.
     pub fn give_back(&mut self, now: Instant) {
         let slice = self.slice(now);
         if let Some((last, units)) = self.slices.back_mut()
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Units allowed now, without a rise that is yet to come.
+    /// Units allowed now, without a pending increase.
     pub fn allowed(&self) -> Units {
         self.allowed
     }
@@ -90,13 +90,13 @@
     }
 
     fn settle(&mut self, now: Instant) {
-        if let Some((at, units)) = self.rise
+        if let Some((at, units)) = self.increase
             && now >= at
         {
             self.allowed = units;
-            self.rise = None;
+            self.increase = None;
         }
-        // One slice more than the window holds: the oldest counts whole.
+        // One slice more than the window, since the oldest slice counts in full.
         let current = self.slice(now);
         while let Some((slice, _)) = self.slices.front() {
             if slice + u64::from(SLICES) >= current {
--- a/crates/steering/src/limiter/roster.rs
+++ b/crates/steering/src/limiter/roster.rs
@@ -1,9 +1,8 @@
-//! How a zone's limits are split among the starts of its hosts.
+//! Distribution of a zone's limits among the starts of its hosts.
 //!
-//! The roster is one row of the platform's table, changed only by
-//! compare-and-set. A host lowers its own use first and writes second, and
-//! raises its use only after its write; so parts in use never sum to more than
-//! the whole, without any lease.
+//! The roster is one row in the platform's table, changed only by compare-and-set. A host reduces
+//! its own use before it writes a smaller share, and raises its use only after it has written a
+//! larger one. So the shares in use never add up to more than the whole, without any lease.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +12,35 @@
 use super::Units;
 use crate::ids::{HostName, Incarnation};
 
-/// The whole, in thousandths.
+/// The whole limit, in thousandths.
 pub const WHOLE_PERMILLE: u32 = 1_000;
 
-/// One start's part.
+/// Share of one start of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostShare {
-    /// The start that it belongs to.
+    /// Incarnation of the start that owns the share.
     pub incarnation: Incarnation,
     /// Thousandths of each limit of the zone.
     pub permille: u32,
 }
 
-/// All parts of a zone; they and `free_permille` sum to the whole.
+/// All shares of a zone; together with `free_permille` they add up to the whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Share of each host.
+    /// Share of each host, by name.
     pub parts: BTreeMap<HostName, HostShare>,
-    /// What belongs to nobody.
+    /// Thousandths that no host owns.
     pub free_permille: u32,
 }
 
-/// Why a part can't be taken.
+/// Reason why a share cannot be changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RosterError {
-    /// The host's earlier start still holds a part.
-    #[display("an earlier start of the host still holds a part")]
+    /// An earlier start of the host still holds a share.
+    #[display("an earlier start of the host still holds a share")]
     EarlierStart,
-    /// The part belongs to another start.
-    #[display("the part belongs to another start")]
+    /// The share belongs to another start.
+    #[display("the share belongs to another start")]
     NotYours,
 }
 
@@ -55,7 +54,7 @@
 }
 
 impl Roster {
-    /// The part of a start, in thousandths.
+    /// Share of a start, in thousandths.
     pub fn permille(&self, host: &str, incarnation: Incarnation) -> u32 {
         self.parts
             .get(host)
@@ -63,18 +62,18 @@
             .map_or(0, |part| part.permille)
     }
 
-    /// Units of a limit that a start owns; rounded down, so that the sum never exceeds it.
+    /// Units of a limit that a start owns, rounded down so that the sum never exceeds the limit.
     pub fn owned_units(&self, host: &str, incarnation: Incarnation, limit: Units) -> Units {
         let permille = u64::from(self.permille(host, incarnation));
         (u64::from(limit) * permille / u64::from(WHOLE_PERMILLE)) as Units
     }
 
-    /// The part that each of `hosts` hosts should have.
+    /// Target share of each of `hosts` hosts, in thousandths.
     pub fn fair_permille(hosts: usize) -> u32 {
         WHOLE_PERMILLE / hosts.max(1) as u32
     }
 
-    /// Gives a start what is free, up to `most` in all.
+    /// Gives free thousandths to a start, up to `most` in total; returns its share.
     pub fn take(
         &mut self,
         host: &str,
@@ -94,8 +93,9 @@
         Ok(part.permille)
     }
 
-    /// Gives back what a start has above `keep`; only the start itself may do so,
-    /// and only after it has stopped using it.
+    /// Returns the part of a start's share above `keep` to the free thousandths, and returns the
+    /// remaining share. Only the start itself may call this, and only after it has stopped using
+    /// the units.
     pub fn give(
         &mut self,
         host: &str,
@@ -112,7 +112,7 @@
         Ok(part.permille)
     }
 
-    /// Frees the part of a start that is certainly gone.
+    /// Frees the share of a start that is certainly gone.
     pub fn free(&mut self, host: &str, incarnation: Incarnation) {
         let gone = self
             .parts
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Whether parts and the free rest sum to the whole.
+    /// Whether the shares and the free thousandths add up to the whole.
     pub fn is_whole(&self) -> bool {
         let parts: u32 = self.parts.values().map(|part| part.permille).sum();
         parts + self.free_permille == WHOLE_PERMILLE
--- a/crates/steering/src/pool/member.rs
+++ b/crates/steering/src/pool/member.rs
@@ -1,4 +1,4 @@
-//! One upstream in a pool, as its owner sees it.
+//! One upstream in a pool, as seen by the pool's owner.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,31 +11,32 @@
 use crate::labels;
 use crate::statement::{ActiveStatements, Obstacle};
 
-/// Small: places are compared by it, and chasing noise costs ways between zones.
+/// Small, because zones are compared by the average, and reacting to noise would send requests to
+/// other zones.
 const LATENCY_WEIGHT: f64 = 0.05;
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(5);
 const SLOW_FACTOR: f64 = 4.0;
-/// Times the expected one after which silence tells against an upstream: seldom
-/// enough where times of requests vary by themselves.
-const LATE_FACTOR: f64 = 10.0;
-const WINDOW_CUT: f64 = 0.7;
-const WINDOW_START: f64 = 0.34;
-/// Time over which a window must be used to stay as wide as it is (RFC 7661's
-/// idea): caches are warm for what was served, not for what could have been.
-const WINDOW_CHECK: Duration = Duration::from_secs(10);
-const WINDOW_OVER_USE: f64 = 2.0;
-const FAILURES_UNTIL_DOWN: u32 = 3;
-const SHED_PAUSE: Duration = Duration::from_millis(100);
-const DOWN_PAUSE: Duration = Duration::from_secs(2);
+/// Multiple of the expected duration after which a missing answer counts against an upstream. It
+/// is high enough to be exceeded rarely where request durations vary.
+const SILENT_FACTOR: f64 = 10.0;
+const WINDOW_DECREASE: f64 = 0.7;
+const INITIAL_WINDOW: f64 = 0.34;
+/// Time for which a window must be in use to keep its width, as in RFC 7661: an upstream's caches
+/// are warm for the load that it served, not for the load that the window allowed.
+const WINDOW_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+const WINDOW_HEADROOM: f64 = 2.0;
+const FAILURES_TO_EJECT: u32 = 3;
+const REJECTION_PAUSE: Duration = Duration::from_millis(100);
+const EJECTION_PAUSE: Duration = Duration::from_secs(2);
 
-/// How a request on an upstream ended.
+/// How a request to an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered; the time to the first byte.
+    /// The upstream answered; time to the first byte.
     Answered(Duration),
-    /// The upstream refused it without running it.
+    /// The upstream rejected the request without running it.
     Shed,
-    /// It did, and wants nothing for this time.
+    /// The upstream rejected the request without running it, and requested a rest of this length.
     Rests(Duration),
     /// The upstream could not be reached, or broke the connection.
     Failed,
@@ -43,62 +44,62 @@
     Cancelled,
 }
 
-/// What an upstream tells of its load.
+/// Load report of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it runs, from whichever host.
+    /// Number of requests that the upstream runs, from all hosts.
     pub in_flight: u32,
-    /// Whether it accepts work.
+    /// Whether the upstream accepts work.
     pub healthy: bool,
 }
 
 /// State of one upstream, for dumps and drains.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamName,
-    /// Requests that this host has sent and that have not ended.
+    /// Number of requests that this host has sent and that have not ended.
     pub in_flight: u32,
-    /// Slots that may be taken by other hosts' requests.
+    /// Number of slots that other hosts' requests may occupy.
     pub unknown: u32,
-    /// Slots that may be used now.
+    /// Number of slots that may be used now.
     pub allowed: u32,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub usable: bool,
-    /// Smoothed time to first byte, in milliseconds.
+    /// Moving average of the time to first byte, in milliseconds.
     pub latency_ms: f64,
 }
 
-/// An upstream and the owner's own counts of it.
+/// An upstream with the counts of the pool's owner.
 pub struct Member {
     pub upstream: Arc<Upstream>,
-    /// At most `upstream.slots`, unless slots were lowered meanwhile.
+    /// At most `upstream.slots`, unless the slots were reduced meanwhile.
     pub in_flight: u32,
     /// No longer configured; kept until `in_flight` is 0.
     pub leaving: bool,
-    /// Whether its last report says that it accepts no work; only a report takes that back.
+    /// Whether the last report says that the upstream accepts no work; only a report resets this.
     refuses_work: bool,
-    /// What it has said in its answers.
-    stated: ActiveStatements,
-    /// From 1 to `upstream.slots`; grows with good answers, cut by sheds and slow ones.
+    /// Statements from the upstream's answers.
+    statements: ActiveStatements,
+    /// Concurrency window, from 1 to `upstream.slots`; grows with good answers, shrinks with
+    /// rejected and slow ones.
     window: f64,
-    /// Most in flight since `window_checked`.
+    /// Maximum of requests in flight since `window_checked`.
     window_peak: u32,
     window_checked: Instant,
     latency_ms: Option<f64>,
     latency_at: Instant,
-    /// Latest time that it has been told of.
-    told_at: Instant,
+    /// Latest time passed to `refresh`, `release` or `report`.
+    latest_at: Instant,
     failures: u32,
     paused_until: Instant,
-    /// When each request was sent of which nothing has come back yet; no more than
-    /// `in_flight`.
-    awaited: Vec<Instant>,
-    /// Expected time of a request when last refreshed; 0 before.
+    /// Send times of the requests without an answer; at most `in_flight`.
+    unanswered: Vec<Instant>,
+    /// Expected duration of a request at the last refresh; 0 before the first.
     expected_ms: f64,
-    /// How long the oldest of them had been waited for when last refreshed.
+    /// Age of the oldest unanswered request at the last refresh.
     silent_ms: f64,
-    /// In flight for other hosts, as far as it can't be ruled out.
+    /// Slots that requests of other hosts may occupy.
     unknown: u32,
     unknown_until: Instant,
 }
@@ -111,20 +112,20 @@
             0
         };
         Member {
-            window: start_window(upstream.slots),
+            window: initial_window(upstream.slots),
             upstream,
             in_flight: 0,
             leaving: false,
             refuses_work: false,
-            stated: ActiveStatements::default(),
+            statements: ActiveStatements::default(),
             window_peak: 0,
             window_checked: now,
             latency_ms: None,
             latency_at: now,
-            told_at: now,
+            latest_at: now,
             failures: 0,
             paused_until: now,
-            awaited: Vec::new(),
+            unanswered: Vec::new(),
             expected_ms: 0.0,
             silent_ms: 0.0,
             unknown,
@@ -137,13 +138,13 @@
         self.upstream = upstream;
     }
 
-    /// Brings figures that change with time up to date.
+    /// Updates all values that depend on the time.
     pub fn refresh(&mut self, now: Instant, expected: Duration) {
         if now >= self.unknown_until {
             self.unknown = 0;
         }
-        if now >= self.paused_until && self.failures >= FAILURES_UNTIL_DOWN {
-            self.failures = FAILURES_UNTIL_DOWN - 1;
+        if now >= self.paused_until && self.failures >= FAILURES_TO_EJECT {
+            self.failures = FAILURES_TO_EJECT - 1;
         }
         let age = now.saturating_duration_since(self.latency_at);
         let keep = 0.5_f64.powf(age.as_secs_f64() / LATENCY_HALF_LIFE.as_secs_f64());
@@ -152,33 +153,33 @@
             *latency_ms = expected_ms + (*latency_ms - expected_ms) * keep;
         }
         self.latency_at = now;
-        self.told_at = now;
-        let oldest = self.awaited.iter().min();
+        self.latest_at = now;
+        let oldest = self.unanswered.iter().min();
         let oldest = oldest.map_or(Duration::ZERO, |sent| now.saturating_duration_since(*sent));
         self.silent_ms = oldest.as_secs_f64() * 1_000.0;
         self.expected_ms = expected_ms;
-        if now.saturating_duration_since(self.window_checked) > WINDOW_CHECK {
+        if now.saturating_duration_since(self.window_checked) > WINDOW_CHECK_INTERVAL {
             self.narrow_window(now);
         }
     }
 
-    /// Whether it takes work, now or when its rest is over.
+    /// Whether the upstream accepts work, now or at the end of its rest.
     pub fn usable(&self) -> bool {
         !self.leaving
             && !self.refuses_work
-            && self.failures < FAILURES_UNTIL_DOWN
+            && self.failures < FAILURES_TO_EJECT
             && labels::takes_new_work(&self.upstream.labels)
     }
 
-    /// How much longer it rests, as of the latest time told; none where it does not.
+    /// Remaining rest at the latest known time; `None` if the upstream does not rest.
     pub fn rests_for(&self) -> Option<Duration> {
-        match self.stated.obstacle(self.told_at)? {
+        match self.statements.obstacle(self.latest_at)? {
             Obstacle::Rests(rest) => Some(rest),
             _ => Some(Duration::ZERO),
         }
     }
 
-    /// Slots that may be used now. Those of one that rests are no room.
+    /// Number of slots that may be used now; none while the upstream rests.
     pub fn allowed(&self) -> u32 {
         if self.rests_for().is_some() {
             return 0;
@@ -193,9 +194,10 @@
         self.latency_ms.unwrap_or(0.0)
     }
 
-    /// As the policy sees it; for a hedge every wait for it counts, not only a late one.
+    /// The upstream as seen by a policy. For a hedge the age of any unanswered request counts,
+    /// otherwise only that of a late one.
     pub fn candidate(&self, hedge: bool) -> Candidate {
-        let late = hedge || self.silent_ms >= self.expected_ms * LATE_FACTOR;
+        let late = hedge || self.silent_ms >= self.expected_ms * SILENT_FACTOR;
         let silent_ms = if late { self.silent_ms } else { 0.0 };
         let paused = self.paused_until > self.latency_at;
         let allowed = if self.usable() && !paused {
@@ -210,55 +212,58 @@
         }
     }
 
-    /// The first byte of an answer has come; its body may take long.
+    /// Records the first byte of an answer; the body may take long.
     pub fn first_byte(&mut self, now: Instant, sent: Instant, expected: Duration) {
-        self.stated.answered(sent);
+        self.statements.answered(sent);
         if self.stop_awaiting(sent) {
-            self.answered(now.saturating_duration_since(sent), expected);
+            self.record_success(now.saturating_duration_since(sent), expected);
         }
     }
 
-    /// Whether nothing had come back of the request that was sent then.
+    /// Whether the request sent at `sent` had no answer yet.
     fn stop_awaiting(&mut self, sent: Instant) -> bool {
-        let found = self.awaited.iter().position(|awaited| *awaited == sent);
-        found.map(|at| self.awaited.swap_remove(at)).is_some()
+        let position = self
+            .unanswered
+            .iter()
+            .position(|unanswered| *unanswered == sent);
+        position.map(|at| self.unanswered.swap_remove(at)).is_some()
     }
 
     pub fn release(&mut self, now: Instant, sent: Instant, outcome: Outcome, expected: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.told_at = now;
-        let awaited = self.stop_awaiting(sent);
+        self.latest_at = now;
+        let unanswered = self.stop_awaiting(sent);
         match outcome {
-            Outcome::Shed => drop(self.stated.answered(sent)),
-            // A rest of no time is an answer like any other, and ends a trial.
+            Outcome::Shed => drop(self.statements.answered(sent)),
+            // A rest of zero length is an answer like any other, and ends a trial.
             Outcome::Rests(rest) => {
-                self.stated.rest(now, rest);
-                self.stated.answered(sent);
+                self.statements.rest(now, rest);
+                self.statements.answered(sent);
             }
-            // An answer was noted with its first byte; without one the deadline has passed.
+            // A first byte was recorded when it arrived. Without one the deadline has passed.
             Outcome::Answered(_) | Outcome::Failed | Outcome::Cancelled => {
-                self.stated.unanswered(sent);
+                self.statements.unanswered(sent);
             }
         }
         match outcome {
-            Outcome::Answered(latency) if awaited => self.answered(latency, expected),
+            Outcome::Answered(latency) if unanswered => self.record_success(latency, expected),
             Outcome::Answered(_) => {}
             Outcome::Shed | Outcome::Rests(_) => {
-                self.cut_window();
-                self.paused_until = now + SHED_PAUSE;
+                self.shrink_window();
+                self.paused_until = now + REJECTION_PAUSE;
             }
             Outcome::Failed => {
                 self.failures += 1;
-                self.paused_until = now + SHED_PAUSE;
-                if self.failures >= FAILURES_UNTIL_DOWN {
-                    self.paused_until = now + DOWN_PAUSE;
+                self.paused_until = now + REJECTION_PAUSE;
+                if self.failures >= FAILURES_TO_EJECT {
+                    self.paused_until = now + EJECTION_PAUSE;
                 }
             }
-            // Whoever gave up on it late tells that it takes at least so long.
-            Outcome::Cancelled if awaited => {
+            // A request cancelled late shows that the upstream takes at least this long.
+            Outcome::Cancelled if unanswered => {
                 let waited = now.saturating_duration_since(sent);
                 if waited >= expected.mul_f64(SLOW_FACTOR) {
-                    self.took(waited, expected);
+                    self.record_latency(waited, expected);
                 }
             }
             Outcome::Cancelled => {}
@@ -266,13 +271,13 @@
     }
 
     pub fn report(&mut self, measured: Instant, report: &LoadReport) {
-        self.told_at = self.told_at.max(measured);
+        self.latest_at = self.latest_at.max(measured);
         self.refuses_work = !report.healthy;
         if self.refuses_work {
             return;
         }
-        if self.failures >= FAILURES_UNTIL_DOWN {
-            self.failures = FAILURES_UNTIL_DOWN - 1;
+        if self.failures >= FAILURES_TO_EJECT {
+            self.failures = FAILURES_TO_EJECT - 1;
         }
         if measured < self.unknown_until {
             let foreign = report.in_flight.saturating_sub(self.in_flight);
@@ -298,42 +303,42 @@
     /// Counts a request that is sent now.
     pub fn enter(&mut self, now: Instant) {
         self.in_flight += 1;
-        self.stated.sent(now);
-        self.awaited.push(now);
+        self.statements.sent(now);
+        self.unanswered.push(now);
         self.window_peak = self.window_peak.max(self.in_flight);
     }
 
-    /// Closes a window that was not used as far as it is open.
+    /// Narrows a window that was not fully used.
     fn narrow_window(&mut self, now: Instant) {
-        let used = f64::from(self.window_peak) * WINDOW_OVER_USE;
-        let start = start_window(self.upstream.slots);
+        let used = f64::from(self.window_peak) * WINDOW_HEADROOM;
+        let start = initial_window(self.upstream.slots);
         self.window = self.window.min(used.max(start));
         self.window_peak = self.in_flight;
         self.window_checked = now;
     }
 
-    fn answered(&mut self, latency: Duration, expected: Duration) {
+    fn record_success(&mut self, latency: Duration, expected: Duration) {
         self.failures = 0;
-        self.took(latency, expected);
+        self.record_latency(latency, expected);
     }
 
-    fn took(&mut self, latency: Duration, expected: Duration) {
+    fn record_latency(&mut self, latency: Duration, expected: Duration) {
         let latency_ms = latency.as_secs_f64() * 1_000.0;
         let before = self.latency_ms.unwrap_or(latency_ms);
         self.latency_ms = Some(before + (latency_ms - before) * LATENCY_WEIGHT);
         if latency > expected.mul_f64(SLOW_FACTOR) {
-            self.cut_window();
+            self.shrink_window();
         } else {
             let slots = f64::from(self.upstream.slots);
             self.window = (self.window + 1.0 / self.window).min(slots);
         }
     }
 
-    fn cut_window(&mut self) {
-        self.window = (self.window * WINDOW_CUT).max(1.0);
+    fn shrink_window(&mut self) {
+        self.window = (self.window * WINDOW_DECREASE).max(1.0);
     }
 }
 
-fn start_window(slots: u32) -> f64 {
-    (f64::from(slots) * WINDOW_START).max(1.0)
+fn initial_window(slots: u32) -> f64 {
+    (f64::from(slots) * INITIAL_WINDOW).max(1.0)
 }
--- a/crates/steering/src/pool/mod.rs
+++ b/crates/steering/src/pool/mod.rs
@@ -1,6 +1,6 @@
-//! Admission by the one owner of a pool: a service's upstreams in a zone, or a
-//! part of them. The owner counts slots and connections exactly, and keeps one
-//! queue for all.
+//! Admission to a pool: the upstreams of a service in a zone, or a part of them. One host owns a
+//! pool at a time. The owner counts slots and connections exactly, and keeps one queue for all
+//! upstreams.
 
 mod member;
 mod queue;
@@ -21,12 +21,12 @@
 use crate::error::ErrorKind;
 use crate::ids::UpstreamName;
 
-/// Limits of a pool that its service sets.
+/// Limits of a pool, from the settings of its service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolLimits {
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub queue_limit: usize,
-    /// Expected time of a request on a warm upstream.
+    /// Expected duration of a request on a warm upstream.
     pub expected: Duration,
 }
 
@@ -39,59 +39,60 @@
     }
 }
 
-/// A request that is offered to a pool.
+/// A request for admission to a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolRequest {
-    /// Time by which it must have its first byte.
+    /// Deadline for the first byte of the answer.
     pub deadline: Instant,
-    /// Priority of its service.
+    /// Priority of the request's service.
     pub priority: u8,
-    /// Whether it is the second try at one that is late: it goes where nothing is
-    /// waited for as long as for that one.
+    /// Whether this is a hedge for a late request. A hedge avoids upstreams with a request that
+    /// has waited as long as the late one.
     pub hedge: bool,
 }
 
-/// Leave to send one request to one upstream.
+/// Permission to send one request to one upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant {
-    /// The waiting request that it is for; 0 where it did not wait.
+    /// Identifier of the waiting request; 0 if it did not wait.
     pub wait: WaitId,
     /// The upstream to send to.
     pub upstream: Arc<Upstream>,
-    /// When it was given; tells the request from others on the same upstream.
+    /// Time of the grant; distinguishes the request from others on the same upstream.
     pub sent: Instant,
 }
 
-/// What becomes of a request that is offered to a pool.
+/// Decision on a request for admission.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Send it now.
+    /// The request may be sent now.
     Granted(Grant),
-    /// It waits; a later [`QueueStep`] says what becomes of it.
+    /// The request waits; a later [`QueueStep`] decides on it.
     Queued(WaitId),
-    /// It is not run.
+    /// The request must not be sent.
     Refused(ErrorKind),
 }
 
-/// What a change of the pool's state means for waiting requests.
+/// Effect of a change in the pool on a waiting request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QueueStep {
     /// The request may be sent.
     Granted(Grant),
-    /// The request is not run.
+    /// The request must not be sent.
     Refused(WaitId, ErrorKind),
 }
 
-/// Load of a pool, as told to other hosts.
+/// Load of a pool, as reported to other hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolLoad {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// Slots that may be used now: of upstreams that are up and warm, and neither leave nor rest.
+    /// Number of slots that may be used now: those of upstreams that are up, warm, not leaving and
+    /// not resting.
     pub capacity: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: u32,
-    /// Smoothed time of a request, in milliseconds.
+    /// Moving average of the time to first byte, in milliseconds.
     pub latency_ms: f64,
 }
 
@@ -104,7 +105,7 @@
 }
 
 impl Pool {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     pub fn new(limits: PoolLimits, policy: Box<dyn Policy>) -> Self {
         Pool {
             queue: WaitQueue::new(limits.queue_limit),
@@ -114,10 +115,10 @@
         }
     }
 
-    /// Takes the upstreams of a new configuration; counts of those that stay are kept.
+    /// Applies a new configuration, and keeps the counts of upstreams that remain.
     ///
-    /// An upstream that the pool has not had before is counted as full until a
-    /// report or `unknown_for` clears it: another host may have sent it work.
+    /// An upstream that is new to the pool counts as full until a report arrives or `unknown_for`
+    /// has passed, since another host may have sent it work.
     pub fn configure(
         &mut self,
         now: Instant,
@@ -147,7 +148,7 @@
             .retain(|member| !member.leaving || member.in_flight > 0);
     }
 
-    /// Offers a request.
+    /// Decides on a request for admission.
     pub fn offer(&mut self, now: Instant, offer: PoolRequest, rng: &mut dyn RngCore) -> Decision {
         let PoolRequest {
             deadline,
@@ -165,8 +166,9 @@
         if !self.members.iter().any(Member::usable) {
             return Decision::Refused(ErrorKind::NoUpstream);
         }
-        let ready = now + self.expected_wait().max(self.shortest_rest()) + self.limits.expected;
-        if ready > deadline {
+        let expected_answer =
+            now + self.expected_wait().max(self.shortest_rest()) + self.limits.expected;
+        if expected_answer > deadline {
             return Decision::Refused(ErrorKind::NoCapacity);
         }
         let latest_start = deadline - self.limits.expected;
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The first byte of an answer has come, while its slot stays taken.
+    /// Records the first byte of an answer; the request keeps its slot.
     pub fn first_byte(&mut self, now: Instant, grant: &Grant) {
         let expected = self.limits.expected;
         if let Some(member) = self.find(&grant.upstream.name) {
@@ -184,7 +186,8 @@
         }
     }
 
-    /// A request has ended and its slot is free; says who may go next.
+    /// Records the end of a request, which frees its slot; returns what follows for waiting
+    /// requests.
     pub fn release(
         &mut self,
         now: Instant,
@@ -201,26 +204,27 @@
         self.advance(now, rng)
     }
 
-    /// A waiting request's caller has gone; false where it no longer waits.
+    /// Removes a waiting request whose caller has left; false if it no longer waits.
     pub fn cancel(&mut self, wait: WaitId) -> bool {
         self.queue.remove(wait)
     }
 
-    /// Takes a load report of an upstream, measured at `measured`.
+    /// Applies a load report of an upstream, measured at `measured`.
     pub fn report(&mut self, measured: Instant, upstream: &UpstreamName, report: &LoadReport) {
         if let Some(member) = self.find(upstream) {
             member.report(measured, report);
         }
     }
 
-    /// An upstream's probe failed.
+    /// Records that a probe of an upstream failed.
     pub fn probe_failed(&mut self, upstream: &UpstreamName) {
         if let Some(member) = self.find(upstream) {
             member.probe_failed();
         }
     }
 
-    /// Grants what can go now and refuses what can't make its deadline any more.
+    /// Grants waiting requests that can be sent now, and refuses those that cannot meet their
+    /// deadline any more.
     pub fn advance(&mut self, now: Instant, rng: &mut dyn RngCore) -> Vec<QueueStep> {
         let mut steps: Vec<QueueStep> = self
             .queue
@@ -247,13 +251,13 @@
     /// Load of the whole pool.
     pub fn load(&self) -> PoolLoad {
         let usable = || self.members.iter().filter(|member| member.usable());
-        let weighed: f64 = usable().map(|member| member.latency_ms()).sum();
+        let total_ms: f64 = usable().map(|member| member.latency_ms()).sum();
         let count = usable().count().max(1);
         PoolLoad {
             in_flight: self.members.iter().map(|member| member.in_flight).sum(),
             capacity: usable().map(Member::allowed).sum(),
             queued: self.queue.len() as u32,
-            latency_ms: weighed / count as f64,
+            latency_ms: total_ms / count as f64,
         }
     }
 
@@ -291,7 +295,7 @@
         })
     }
 
-    /// Time until the first of those that take work has rested; zero where one does not rest.
+    /// Time until the first usable upstream ends its rest; zero if one is not resting.
     fn shortest_rest(&self) -> Duration {
         let usable = self.members.iter().filter(|member| member.usable());
         let rests = usable.map(|member| member.rests_for().unwrap_or_default());
--- a/crates/steering/src/pool/queue.rs
+++ b/crates/steering/src/pool/queue.rs
@@ -1,21 +1,21 @@
-//! A bounded queue that lets the request with the least slack go first.
+//! A bounded queue, ordered by the slack to the deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// Identity of a waiting request in its pool; never 0.
+/// Identifier of a waiting request in its pool; never 0.
 pub type WaitId = u64;
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
-    /// Latest start that still makes the deadline.
+    /// Latest start that still meets the deadline.
     pub latest_start: Instant,
-    /// Priority of its service; higher is evicted later.
+    /// Priority of the request's service; lower priorities are evicted first.
     pub priority: u8,
 }
 
-/// The queue; `order` and `waits` always hold the same requests.
+/// The queue; `order` and `waits` always contain the same requests.
 #[derive(Debug)]
 pub struct WaitQueue {
     limit: usize,
@@ -26,7 +26,7 @@
 }
 
 impl WaitQueue {
-    /// A queue of at most `limit` requests.
+    /// Creates a queue of at most `limit` requests.
     pub fn new(limit: usize) -> Self {
         WaitQueue {
             limit,
@@ -37,27 +37,28 @@
         }
     }
 
-    /// Changes the limit; what waits stays.
+    /// Changes the limit; requests already waiting remain.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Adds a request; a full queue evicts one of lower priority, or takes none.
+    /// Adds a request. A full queue evicts a request of lower priority; if there is none, it
+    /// returns `None`.
     pub fn push(&mut self, latest_start: Instant, priority: u8) -> Option<WaitId> {
         if self.len() >= self.limit {
-            let victim = self.least_important(priority)?;
-            self.remove(victim);
-            self.evicted.push(victim);
+            let evicted = self.least_important(priority)?;
+            self.remove(evicted);
+            self.evicted.push(evicted);
         }
         let id = self.next;
         self.next += 1;
@@ -75,7 +76,7 @@
         self.order.first().map(|(_, id)| *id)
     }
 
-    /// Takes a request out; false where it is not there.
+    /// Removes a request; false if it is not in the queue.
     pub fn remove(&mut self, id: WaitId) -> bool {
         let Some(wait) = self.waits.remove(&id) else {
             return false;
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Takes out what can't make its deadline any more.
+    /// Removes and returns the requests that cannot meet their deadline any more.
     pub fn drain_late(&mut self, now: Instant) -> Vec<WaitId> {
         let late: Vec<WaitId> = self
             .order
@@ -98,7 +99,7 @@
         late
     }
 
-    /// What was evicted since the last call.
+    /// Returns the requests evicted since the last call.
     pub fn drain_evicted(&mut self) -> Vec<WaitId> {
         std::mem::take(&mut self.evicted)
     }
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -57,13 +57,13 @@
         let condition = self.upstream.condition();
         let obstacle = condition.obstacle(now);
         let barring = obstacle.filter(|obstacle| obstacle.blocks_chosen_request());
-        let lacks_token = !self.has_token && condition.stated.limit_heard(now).is_some();
+        let lacks_token = !self.has_token && condition.stated.known_limit(now).is_some();
         barring.or(lacks_token.then_some(Obstacle::LimitExhausted(Duration::ZERO)))
     }
 
     /// The limit of which the request needs a token before it is sent.
     pub fn limit(&self, now: Instant) -> Option<KnownLimit> {
-        self.upstream.condition().stated.limit_heard(now)
+        self.upstream.condition().stated.known_limit(now)
     }
 
     /// Counts the request that is about to be sent; `object` is its own, where it has one.
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -91,7 +91,7 @@
     /// Its limit, where this host has heard it lately. One that nothing is sent to names no
     /// other limit either: its objects come back to ask.
     fn fresh_limit(&self, now: Instant) -> Option<f64> {
-        let limit = self.condition().stated.limit_heard(now)?;
+        let limit = self.condition().stated.known_limit(now)?;
         (limit.age < LIMIT_FRESH).then_some(limit.per_s)
     }
 
@@ -197,7 +197,7 @@
         let pools = self.regions.values();
         for upstream in pools.flat_map(|region| &region.upstreams) {
             let condition = upstream.condition();
-            counts.limiting += usize::from(condition.stated.limit_heard(now).is_some());
+            counts.limiting += usize::from(condition.stated.known_limit(now).is_some());
             match condition.obstacle(now) {
                 Some(Obstacle::Rests(_) | Obstacle::TrialPending) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
--- a/crates/steering/src/statement/answer.rs
+++ b/crates/steering/src/statement/answer.rs
@@ -1,79 +1,83 @@
-//! What an answer says of the upstream that gave it.
+//! The statements of a single answer.
 
 use std::time::Duration;
 
-/// Longest rest that is taken from one answer. An upstream that can take nothing for
-/// longer leaves; with an hour, one that has written nonsense costs a host a request an hour.
-const REST_MOST: Duration = Duration::from_secs(3_600);
-/// Rest of one that wants it and does not say readably for how long: the least that can be
-/// said in whole seconds.
-const REST_UNREADABLE: Duration = Duration::from_secs(1);
+/// Longest rest that is granted per answer. An upstream that can take nothing for longer should
+/// announce that it leaves. With an hour, an upstream that sends a nonsensical value receives one
+/// request per hour and host.
+const MAX_REST: Duration = Duration::from_secs(3_600);
+/// Rest granted if the requested time is unreadable: the shortest that can be expressed in whole
+/// seconds.
+const REST_IF_UNREADABLE: Duration = Duration::from_secs(1);
 
-/// Least limit that is kept, in requests a second over all hosts. With one that takes nothing
-/// for ever nobody would hear when it takes work again; one in four seconds asks.
-const LIMIT_LEAST_PER_S: f64 = 0.25;
-/// Limit from which on one binds nobody, in requests a second: no upstream gets so many.
-const LIMIT_MOST_PER_S: f64 = 100_000.0;
-/// Limit of one that names one and not readably how much, in requests a second: the least that
-/// can be said in a whole number.
-const LIMIT_UNREADABLE_PER_S: f64 = 1.0;
+/// Minimum limit that is granted, in requests per second over all hosts. With a limit of 0 no host
+/// would ever learn that the upstream accepts work again, so one request is sent every four
+/// seconds.
+const MIN_LIMIT_PER_S: f64 = 0.25;
+/// Limits from this value on, in requests per second, are ignored, since no upstream receives so
+/// many requests.
+const UNLIMITED_FROM_PER_S: f64 = 100_000.0;
+/// Limit granted if the requested number is unreadable, in requests per second: the lowest that
+/// can be expressed as a whole number.
+const LIMIT_IF_UNREADABLE_PER_S: f64 = 1.0;
 
-/// What an answer states of its upstream.
+/// What an answer states about the upstream that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Statement {
-    /// Whether the upstream leaves: it is to get no more work.
+    /// Whether the upstream is leaving and must not receive more work.
     pub leaves: bool,
-    /// For how long it wants nothing from this host; none where it does not say so.
+    /// Time for which the upstream wants no requests from this host; `None` without such a
+    /// statement.
     pub rest: Option<RequestedRest>,
-    /// How much it takes from all hosts together; none where it names no limit.
+    /// Request rate that the upstream accepts from all hosts in total; `None` without a limit.
     pub limit: Option<RequestedLimit>,
 }
 
-/// A limit that an upstream names: requests a second from all hosts together.
+/// A limit that an upstream requests, on the requests of all hosts in total.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestedLimit {
-    /// So many, not negative.
+    /// Requests per second; not negative.
     PerSecond(f64),
-    /// A number that can't be read.
+    /// The number could not be read.
     Unreadable,
 }
 
 impl RequestedLimit {
-    /// Requests a second that it gets; none where the limit binds nobody.
+    /// Requests per second that are granted; `None` if the limit is too high to matter.
     pub fn granted(self) -> Option<f64> {
         match self {
-            RequestedLimit::PerSecond(per_s) if per_s >= LIMIT_MOST_PER_S => None,
-            RequestedLimit::PerSecond(per_s) => Some(per_s.max(LIMIT_LEAST_PER_S)),
-            RequestedLimit::Unreadable => Some(LIMIT_UNREADABLE_PER_S),
+            RequestedLimit::PerSecond(per_s) if per_s >= UNLIMITED_FROM_PER_S => None,
+            RequestedLimit::PerSecond(per_s) => Some(per_s.max(MIN_LIMIT_PER_S)),
+            RequestedLimit::Unreadable => Some(LIMIT_IF_UNREADABLE_PER_S),
         }
     }
 
-    /// Whether it is kept as it was named.
+    /// Whether exactly the requested limit is granted.
     pub fn is_granted_in_full(self) -> bool {
         matches!(self, RequestedLimit::PerSecond(per_s) if self.granted() == Some(per_s))
     }
 }
 
-/// A rest that an upstream asks for.
+/// A rest that an upstream requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestedRest {
-    /// For this long from the answer on, whatever that is.
+    /// For this time from the answer on, without an upper bound.
     For(Duration),
-    /// For a time that can't be read.
+    /// The time could not be read.
     Unreadable,
 }
 
 impl RequestedRest {
-    /// The rest that it gets: an hour at most, a second where it can't be read.
+    /// The rest that is granted: at most an hour, and a second if the time is unreadable.
     pub fn granted(self) -> Duration {
         match self {
-            RequestedRest::For(time) => time.min(REST_MOST),
-            RequestedRest::Unreadable => REST_UNREADABLE,
+            RequestedRest::For(time) => time.min(MAX_REST),
+            RequestedRest::Unreadable => REST_IF_UNREADABLE,
         }
     }
 
-    /// Whether it gets what it asked for.
+    /// Whether the requested rest is granted in full.
     pub fn is_granted_in_full(self) -> bool {
-        matches!(self, RequestedRest::For(time) if time <= REST_MOST)
+        matches!(self, RequestedRest::For(time) if time <= MAX_REST)
     }
 }
--- a/crates/steering/src/statement/mod.rs
+++ b/crates/steering/src/statement/mod.rs
@@ -1,9 +1,10 @@
-//! What upstreams say of themselves, and how it binds those who choose among them.
+//! Statements that upstreams make about themselves in their answers, and their effect on upstream
+//! selection.
 
+mod active_statements;
 mod answer;
 mod obstacle;
-mod stated;
 
+pub use active_statements::{ActiveStatements, KnownLimit, LimitChange};
 pub use answer::{RequestedLimit, RequestedRest, Statement};
 pub use obstacle::Obstacle;
-pub use stated::{ActiveStatements, KnownLimit, LimitChange};
--- a/crates/steering/src/statement/obstacle.rs
+++ b/crates/steering/src/statement/obstacle.rs
@@ -1,45 +1,45 @@
-//! Why an upstream may not be sent a request now.
+//! Reasons not to send a request to an upstream.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// What stands against a request to an upstream. What it has said of itself comes first: it
-/// binds, whatever else this host has learned.
+/// Reason not to send a request to an upstream now. The upstream's own statements take precedence
+/// over what this host has observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Obstacle {
-    /// Another start has its address.
+    /// Another start of an upstream has its address.
     #[display("replaced")]
     Replaced,
-    /// It has said that it leaves.
+    /// The upstream stated that it is leaving.
     #[display("leaves")]
     Leaves,
-    /// It has asked for rest, which lasts so much longer.
+    /// The upstream requested a rest; this much of the rest remains.
     #[display("rests")]
     Rests(Duration),
-    /// Its rest is over, and the first request after it is not answered yet.
+    /// The rest is over, and the first request after it has not been answered yet.
     #[display("returns")]
     TrialPending,
-    /// It names a limit, and no host that holds a part of it has a token for so much longer.
+    /// The upstream requested a limit, and no holder of a share has a token for this much longer.
     #[display("limits")]
     LimitExhausted(Duration),
-    /// It has failed lately.
+    /// Recent requests to the upstream failed.
     #[display("failed")]
     Failed,
-    /// Nothing has come back of what is in flight there.
+    /// None of the requests in flight at the upstream has been answered.
     #[display("silent")]
     Silent,
 }
 
 impl Obstacle {
-    /// Whether the upstream itself has said so, and it therefore binds.
+    /// Whether the obstacle follows from a statement of the upstream, which is binding.
     pub fn is_stated(self) -> bool {
         !matches!(self, Obstacle::Failed | Obstacle::Silent)
     }
 
-    /// Whether it also bars a request that was chosen before, and has waited for a connection
-    /// since. The first request after a rest is such a one itself, and one that has a token
-    /// may go though there is none for others.
+    /// Whether the obstacle also blocks a request for which the upstream was chosen earlier, and
+    /// which has waited for a connection since. Not for `TrialPending`, since the request may be
+    /// the trial itself, nor for `LimitExhausted`, since the request may already hold a token.
     pub fn blocks_chosen_request(self) -> bool {
         self.is_stated() && !matches!(self, Obstacle::TrialPending | Obstacle::LimitExhausted(_))
     }
--- a/crates/steering/tests/limiter.rs
+++ b/crates/steering/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! Limits: rates, escrow and rosters, against a simple oracle.
+//! Rates, escrow and rosters compared with a simple oracle.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn a_raised_rate_counts_only_after_a_window() {
+fn a_raised_rate_applies_only_after_a_window() {
     let start = Instant::now();
     let mut rate = RateCounter::new(start);
     rate.allow(start, 5);
     assert!(!rate.admit(start + 500 * MS));
     assert!(rate.admit(start + 1_100 * MS));
     rate.allow(start + 1_200 * MS, 1);
-    assert!(!rate.admit(start + 1_300 * MS), "one of one is used");
+    assert!(!rate.admit(start + 1_300 * MS), "the only unit is used");
 }
 
 #[test]
-fn parts_of_a_roster_never_exceed_the_whole() {
+fn shares_of_a_roster_never_exceed_the_whole() {
     let mut roster = Roster::default();
     assert_eq!(roster.take("a", 1, 1_000), Ok(1_000));
     assert_eq!(roster.take("b", 1, 500), Ok(0));
@@ -54,10 +54,10 @@
     assert!(roster.is_whole());
     assert!(
         roster.take("a", 2, 500).is_err(),
-        "an earlier start holds it"
+        "an earlier start holds the share"
     );
     roster.free("a", 2);
-    assert_eq!(roster.permille("a", 1), 500, "another start is not freed");
+    assert_eq!(roster.permille("a", 1), 500, "`free` names another start");
     roster.free("a", 1);
     assert_eq!(roster.take("a", 2, 500), Ok(500));
     assert!(roster.is_whole());
@@ -70,18 +70,18 @@
 const HOSTS: usize = 3;
 const LIMIT: u32 = 12;
 
-/// One start of a host with a part of the limit.
+/// One start of a host with a share of the limit.
 struct Start {
     incarnation: u64,
     escrow: Escrow,
-    /// Units in use by requests in flight; the oracle's own count.
+    /// Units in use by requests in flight, counted by the oracle.
     used: u32,
 }
 
 impl Start {
-    fn new(host: usize, incarnation: u64, floor: u32) -> Self {
+    fn new(host: usize, incarnation: u64, owned: u32) -> Self {
         let mut escrow = Escrow::new(host.to_string(), incarnation);
-        escrow.set_owned(floor);
+        escrow.set_owned(owned);
         Start {
             incarnation,
             escrow,
@@ -90,11 +90,11 @@
     }
 }
 
-/// Hosts, and every message that is still on its way.
-struct World {
+/// Hosts, and all messages in flight.
+struct Simulation {
     now: Instant,
     starts: Vec<Start>,
-    /// Parts of gone starts that nobody has taken over yet.
+    /// Shares of gone starts that were not taken over yet.
     orphaned: [u32; HOSTS],
     requests: Vec<(usize, usize, LoanRequest)>,
     grants: Vec<(usize, usize, LoanGrant)>,
@@ -115,18 +115,18 @@
     },
     Lose(usize),
     Wait(u32),
-    /// A crash, noticed by the platform's list, and a new start.
+    /// A crash that the platform's host list reports, followed by a new start.
     Restart(usize),
-    /// The roster gives a gone start's part to the new one, where nobody holds of it.
+    /// The roster gives the share of a gone start to the new one, if no host holds units of it.
     TakeOver(usize),
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let floor = LIMIT / HOSTS as u32;
-        World {
+        let owned = LIMIT / HOSTS as u32;
+        Simulation {
             now: Instant::now(),
-            starts: (0..HOSTS).map(|host| Start::new(host, 1, floor)).collect(),
+            starts: (0..HOSTS).map(|host| Start::new(host, 1, owned)).collect(),
             orphaned: [0; HOSTS],
             requests: Vec::new(),
             grants: Vec::new(),
@@ -182,10 +182,10 @@
         }
         let held = |start: &Start| start.escrow.lenders().any(|lender| *lender == name);
         if !self.starts.iter().any(held) {
-            let part = std::mem::take(&mut self.orphaned[host]);
+            let share = std::mem::take(&mut self.orphaned[host]);
             let escrow = &mut self.starts[host].escrow;
-            let floor = escrow.own() + escrow.lent() + part;
-            escrow.set_owned(floor);
+            let owned = escrow.own() + escrow.lent() + share;
+            escrow.set_owned(owned);
         }
     }
 
@@ -235,7 +235,7 @@
     ]
 }
 
-/// Cases; more with `STAGEDECK_CASES`.
+/// Number of cases; set by `STAGEDECK_CASES`.
 fn cases() -> u32 {
     std::env::var("STAGEDECK_CASES")
         .ok()
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn what_is_in_use_never_exceeds_the_limit() {
+fn units_in_use_never_exceed_the_limit() {
     let config = ProptestConfig {
         cases: cases(),
         failure_persistence: None,
@@ -254,13 +254,13 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let histories = prop::collection::vec(step(), 1..250);
     let result = runner.run(&histories, |steps| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.step(step);
+            simulation.step(step);
             prop_assert!(
-                world.used() <= LIMIT,
+                simulation.used() <= LIMIT,
                 "{} of {LIMIT} after {step:?}",
-                world.used()
+                simulation.used()
             );
         }
         Ok(())
--- a/crates/steering/tests/pool.rs
+++ b/crates/steering/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Admission by a pool's owner.
+//! Admission by the owner of a pool.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-struct Bench {
+struct Fixture {
     pool: Pool,
     now: Instant,
     rng: StdRng,
@@ -37,12 +37,12 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn new(upstreams: &[Arc<Upstream>], unknown_for: Duration) -> Self {
         let now = Instant::now();
         let mut pool = Pool::new(limits(), Box::new(LeastExpected));
         pool.configure(now, limits(), upstreams, unknown_for);
-        Bench {
+        Fixture {
             pool,
             now,
             rng: StdRng::seed_from_u64(1),
@@ -73,7 +73,7 @@
         self.pool.release(self.now, grant, outcome, &mut self.rng)
     }
 
-    /// Serves until the upstreams' windows are wholly open.
+    /// Serves requests until the upstreams' windows are fully open.
     fn warm_up(&mut self) {
         for _ in 0..200 {
             let grant = self.granted();
@@ -83,42 +83,42 @@
 }
 
 #[test]
-fn never_more_in_flight_than_slots() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], Duration::ZERO);
-    bench.warm_up();
-    let grants: Vec<Grant> = (0..3).map(|_| bench.granted()).collect();
-    assert!(matches!(bench.offer(1_000 * MS, 5), Decision::Queued(_)));
-    assert_eq!(bench.pool.load().in_flight, 3);
-    let steps = bench.release(&grants[0], Outcome::Answered(10 * MS));
+fn requests_in_flight_never_exceed_the_slots() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], Duration::ZERO);
+    fixture.warm_up();
+    let grants: Vec<Grant> = (0..3).map(|_| fixture.granted()).collect();
+    assert!(matches!(fixture.offer(1_000 * MS, 5), Decision::Queued(_)));
+    assert_eq!(fixture.pool.load().in_flight, 3);
+    let steps = fixture.release(&grants[0], Outcome::Answered(10 * MS));
     assert!(matches!(steps[..], [QueueStep::Granted(_)]));
-    assert_eq!(bench.pool.load().in_flight, 3);
+    assert_eq!(fixture.pool.load().in_flight, 3);
 }
 
 #[test]
-fn least_slack_goes_first() {
-    let mut bench = Bench::new(&[upstream("a", 1, "active")], Duration::ZERO);
-    let running = bench.granted();
-    let Decision::Queued(_late) = bench.offer(900 * MS, 5) else {
+fn the_request_with_the_least_slack_goes_first() {
+    let mut fixture = Fixture::new(&[upstream("a", 1, "active")], Duration::ZERO);
+    let running = fixture.granted();
+    let Decision::Queued(_late) = fixture.offer(900 * MS, 5) else {
         panic!()
     };
-    let Decision::Queued(soon) = bench.offer(300 * MS, 5) else {
+    let Decision::Queued(soon) = fixture.offer(300 * MS, 5) else {
         panic!()
     };
-    let steps = bench.release(&running, Outcome::Answered(10 * MS));
+    let steps = fixture.release(&running, Outcome::Answered(10 * MS));
     assert!(matches!(&steps[..], [QueueStep::Granted(grant)] if grant.wait == soon));
 }
 
 #[test]
-fn what_cannot_make_its_deadline_is_refused_at_once() {
-    let mut bench = Bench::new(&[upstream("a", 1, "active")], Duration::ZERO);
+fn requests_that_cannot_meet_their_deadline_are_refused_at_once() {
+    let mut fixture = Fixture::new(&[upstream("a", 1, "active")], Duration::ZERO);
     assert_eq!(
-        bench.offer(5 * MS, 5),
+        fixture.offer(5 * MS, 5),
         Decision::Refused(ErrorKind::DeadlineBeforeDispatch)
     );
-    let _running = bench.granted();
-    assert_eq!(bench.offer(15 * MS, 5), Decision::Queued(1));
-    bench.now += 6 * MS;
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    let _running = fixture.granted();
+    assert_eq!(fixture.offer(15 * MS, 5), Decision::Queued(1));
+    fixture.now += 6 * MS;
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     assert_eq!(
         steps,
         [QueueStep::Refused(1, ErrorKind::DeadlineBeforeDispatch)]
@@ -127,102 +127,102 @@
 
 #[test]
 fn a_full_queue_evicts_lower_priority_only() {
-    let mut bench = Bench::new(&[upstream("a", 1, "active")], Duration::ZERO);
-    let _running = bench.granted();
-    assert_eq!(bench.offer(1_000 * MS, 5), Decision::Queued(1));
-    assert_eq!(bench.offer(1_000 * MS, 3), Decision::Queued(2));
+    let mut fixture = Fixture::new(&[upstream("a", 1, "active")], Duration::ZERO);
+    let _running = fixture.granted();
+    assert_eq!(fixture.offer(1_000 * MS, 5), Decision::Queued(1));
+    assert_eq!(fixture.offer(1_000 * MS, 3), Decision::Queued(2));
     assert_eq!(
-        bench.offer(1_000 * MS, 3),
+        fixture.offer(1_000 * MS, 3),
         Decision::Refused(ErrorKind::NoCapacity)
     );
-    assert_eq!(bench.offer(1_000 * MS, 8), Decision::Queued(3));
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    assert_eq!(fixture.offer(1_000 * MS, 8), Decision::Queued(3));
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     assert_eq!(steps, [QueueStep::Refused(2, ErrorKind::NoCapacity)]);
 }
 
 #[test]
-fn a_new_owner_counts_as_taken_what_it_cannot_rule_out() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], 500 * MS);
-    assert!(matches!(bench.offer(1_000 * MS, 5), Decision::Queued(_)));
+fn a_new_owner_counts_unknown_slots_as_occupied() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], 500 * MS);
+    assert!(matches!(fixture.offer(1_000 * MS, 5), Decision::Queued(_)));
     let report = LoadReport {
         in_flight: 2,
         healthy: true,
     };
-    bench.pool.report(bench.now, &"a".to_owned(), &report);
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    fixture.pool.report(fixture.now, &"a".to_owned(), &report);
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     assert!(
         matches!(steps[..], []),
-        "2 of 3 are taken by another, and a cold window is 1"
+        "another host occupies 2 of 3 slots, and the initial window is 1"
     );
-    bench.now += 501 * MS;
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    fixture.now += 501 * MS;
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     assert!(matches!(steps[..], [QueueStep::Granted(_)]));
 }
 
 #[test]
-fn a_lying_report_frees_no_slot_that_the_owner_counts() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], Duration::ZERO);
-    bench.warm_up();
-    let _grants: Vec<Grant> = (0..3).map(|_| bench.granted()).collect();
+fn a_wrong_report_frees_no_slot_that_the_owner_counts() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], Duration::ZERO);
+    fixture.warm_up();
+    let _grants: Vec<Grant> = (0..3).map(|_| fixture.granted()).collect();
     let report = LoadReport {
         in_flight: 0,
         healthy: true,
     };
-    bench.pool.report(bench.now, &"a".to_owned(), &report);
-    assert!(matches!(bench.offer(1_000 * MS, 5), Decision::Queued(_)));
+    fixture.pool.report(fixture.now, &"a".to_owned(), &report);
+    assert!(matches!(fixture.offer(1_000 * MS, 5), Decision::Queued(_)));
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_new_work_and_is_kept_until_it_is_quiet() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], Duration::ZERO);
-    let running = bench.granted();
+fn a_leaving_upstream_gets_no_new_work_and_is_kept_until_idle() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], Duration::ZERO);
+    let running = fixture.granted();
     let draining = [upstream("a", 3, "draining")];
-    bench
+    fixture
         .pool
-        .configure(bench.now, limits(), &draining, Duration::ZERO);
+        .configure(fixture.now, limits(), &draining, Duration::ZERO);
     assert_eq!(
-        bench.offer(1_000 * MS, 5),
+        fixture.offer(1_000 * MS, 5),
         Decision::Refused(ErrorKind::NoUpstream)
     );
-    bench
+    fixture
         .pool
-        .configure(bench.now, limits(), &[], Duration::ZERO);
-    assert_eq!(bench.pool.members().len(), 1);
-    bench.release(&running, Outcome::Answered(10 * MS));
-    assert_eq!(bench.pool.members().len(), 0);
+        .configure(fixture.now, limits(), &[], Duration::ZERO);
+    assert_eq!(fixture.pool.members().len(), 1);
+    fixture.release(&running, Outcome::Answered(10 * MS));
+    assert_eq!(fixture.pool.members().len(), 0);
 }
 
 #[test]
-fn a_failing_upstream_is_left_out_and_asked_again_later() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], Duration::ZERO);
+fn a_failing_upstream_is_ejected_and_tried_again_later() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], Duration::ZERO);
     for _ in 0..3 {
-        let grant = bench.granted();
-        bench.release(&grant, Outcome::Failed);
-        bench.now += 200 * MS;
+        let grant = fixture.granted();
+        fixture.release(&grant, Outcome::Failed);
+        fixture.now += 200 * MS;
     }
     assert_eq!(
-        bench.offer(1_000 * MS, 5),
+        fixture.offer(1_000 * MS, 5),
         Decision::Refused(ErrorKind::NoUpstream)
     );
-    bench.now += 3_000 * MS;
-    let _ = bench.pool.advance(bench.now, &mut bench.rng);
+    fixture.now += 3_000 * MS;
+    let _ = fixture.pool.advance(fixture.now, &mut fixture.rng);
     let report = LoadReport {
         in_flight: 0,
         healthy: true,
     };
-    bench.pool.report(bench.now, &"a".to_owned(), &report);
-    bench.granted();
+    fixture.pool.report(fixture.now, &"a".to_owned(), &report);
+    fixture.granted();
 }
 
 #[test]
-fn a_cold_upstream_opens_with_good_answers_and_closes_with_sheds() {
-    let mut bench = Bench::new(&[upstream("a", 9, "active")], Duration::ZERO);
-    let cold = bench.pool.load().capacity;
-    bench.warm_up();
-    let warm = bench.pool.load().capacity;
-    let grant = bench.granted();
-    bench.release(&grant, Outcome::Shed);
-    let shed = bench.pool.load().capacity;
+fn the_window_grows_with_good_answers_and_shrinks_with_rejections() {
+    let mut fixture = Fixture::new(&[upstream("a", 9, "active")], Duration::ZERO);
+    let cold = fixture.pool.load().capacity;
+    fixture.warm_up();
+    let warm = fixture.pool.load().capacity;
+    let grant = fixture.granted();
+    fixture.release(&grant, Outcome::Shed);
+    let shed = fixture.pool.load().capacity;
     assert!(
         cold < warm && warm == 9 && shed < warm,
         "{cold} {warm} {shed}"
@@ -230,61 +230,61 @@
 }
 
 #[test]
-fn a_slow_upstream_is_left_for_a_faster_one() {
+fn a_faster_upstream_is_preferred_to_a_slow_one() {
     let upstreams = [upstream("slow", 3, "active"), upstream("fast", 3, "active")];
-    let mut bench = Bench::new(&upstreams, Duration::ZERO);
+    let mut fixture = Fixture::new(&upstreams, Duration::ZERO);
     let mut slow = 0;
     for _ in 0..300 {
-        let grant = bench.granted();
+        let grant = fixture.granted();
         let is_slow = grant.upstream.name == "slow";
         slow += u32::from(is_slow);
         let took = if is_slow { 200 * MS } else { 10 * MS };
-        bench.release(&grant, Outcome::Answered(took));
+        fixture.release(&grant, Outcome::Answered(took));
     }
     assert!(slow < 30, "{slow} of 300 went to the slow one");
 }
 
 #[test]
 fn a_cancelled_wait_leaves_the_queue() {
-    let mut bench = Bench::new(&[upstream("a", 1, "active")], Duration::ZERO);
-    let running = bench.granted();
-    let Decision::Queued(wait) = bench.offer(900 * MS, 5) else {
+    let mut fixture = Fixture::new(&[upstream("a", 1, "active")], Duration::ZERO);
+    let running = fixture.granted();
+    let Decision::Queued(wait) = fixture.offer(900 * MS, 5) else {
         panic!()
     };
-    assert!(bench.pool.cancel(wait));
-    assert!(!bench.pool.cancel(wait));
-    assert_eq!(bench.release(&running, Outcome::Cancelled), []);
+    assert!(fixture.pool.cancel(wait));
+    assert!(!fixture.pool.cancel(wait));
+    assert_eq!(fixture.release(&running, Outcome::Cancelled), []);
 }
 
-/// A pool of two warm upstreams whose answers take 10 ms.
-fn two_warm() -> Bench {
+/// A pool of two warm upstreams that answer in 10 ms.
+fn two_warm() -> Fixture {
     let upstreams = [upstream("a", 4, "active"), upstream("b", 4, "active")];
-    let mut bench = Bench::new(&upstreams, Duration::ZERO);
-    bench.warm_up();
-    bench
+    let mut fixture = Fixture::new(&upstreams, Duration::ZERO);
+    fixture.warm_up();
+    fixture
 }
 
-/// Sends until a request goes to `name`; the others are answered at once.
-fn sent_to(bench: &mut Bench, name: &str) -> Grant {
+/// Sends requests until one goes to `name`; the others are answered at once.
+fn sent_to(fixture: &mut Fixture, name: &str) -> Grant {
     for _ in 0..100 {
-        let grant = bench.granted();
+        let grant = fixture.granted();
         if grant.upstream.name == name {
             return grant;
         }
-        bench.now += MS;
-        bench.release(&grant, Outcome::Answered(10 * MS));
+        fixture.now += MS;
+        fixture.release(&grant, Outcome::Answered(10 * MS));
     }
     panic!("nothing went to {name}");
 }
 
-/// Where requests go until one would have to wait; all are answered then.
-fn filled(bench: &mut Bench) -> Vec<String> {
+/// The upstreams of requests sent until one would have to wait; then all are answered.
+fn filled(fixture: &mut Fixture) -> Vec<String> {
     let mut grants = Vec::new();
-    while let Decision::Granted(grant) = bench.offer(1_000 * MS, 5) {
+    while let Decision::Granted(grant) = fixture.offer(1_000 * MS, 5) {
         grants.push(grant);
     }
     for grant in &grants {
-        bench.release(grant, Outcome::Answered(10 * MS));
+        fixture.release(grant, Outcome::Answered(10 * MS));
     }
     grants
         .iter()
@@ -293,53 +293,57 @@
 }
 
 #[test]
-fn an_upstream_that_does_not_answer_is_passed_over_while_it_is_silent() {
-    let mut bench = two_warm();
-    let stuck = sent_to(&mut bench, "a");
-    bench.now += 105 * MS;
-    assert_eq!(filled(&mut bench), ["b"; 4], "waiting is better than `a`");
-    let mut bench = two_warm();
-    let slow = sent_to(&mut bench, "a");
-    bench.now += 105 * MS;
-    // Its answer begins; that the body takes long says nothing against it.
-    bench.pool.first_byte(bench.now, &slow);
-    bench.now += 60_000 * MS;
-    assert!(filled(&mut bench).contains(&"a".to_owned()));
+fn a_silent_upstream_is_skipped_until_it_answers() {
+    let mut fixture = two_warm();
+    let stuck = sent_to(&mut fixture, "a");
+    fixture.now += 105 * MS;
+    assert_eq!(
+        filled(&mut fixture),
+        ["b"; 4],
+        "waiting for `b` is faster than `a`"
+    );
+    let mut fixture = two_warm();
+    let slow = sent_to(&mut fixture, "a");
+    fixture.now += 105 * MS;
+    // The answer has started; a long body does not count against the upstream.
+    fixture.pool.first_byte(fixture.now, &slow);
+    fixture.now += 60_000 * MS;
+    assert!(filled(&mut fixture).contains(&"a".to_owned()));
     assert_ne!(stuck, slow);
 }
 
 #[test]
-fn a_request_that_was_given_up_late_tells_against_its_upstream() {
+fn a_late_cancellation_counts_against_the_upstream() {
     let upstreams = [upstream("a", 4, "active"), upstream("b", 4, "active")];
-    let mut bench = Bench::new(&upstreams, Duration::ZERO);
-    let answered = sent_to(&mut bench, "b");
-    bench.release(&answered, Outcome::Answered(10 * MS));
-    // No answer of `a` was ever seen: before, nothing spoke against it for ever.
-    let stuck = sent_to(&mut bench, "a");
-    bench.now += 60 * MS;
-    bench.release(&stuck, Outcome::Cancelled);
-    let next = bench.granted();
+    let mut fixture = Fixture::new(&upstreams, Duration::ZERO);
+    let answered = sent_to(&mut fixture, "b");
+    fixture.release(&answered, Outcome::Answered(10 * MS));
+    // `a` has never answered, so only the cancelled request can count against it.
+    let stuck = sent_to(&mut fixture, "a");
+    fixture.now += 60 * MS;
+    fixture.release(&stuck, Outcome::Cancelled);
+    let next = fixture.granted();
     assert_eq!(next.upstream.name, "b");
 }
 
 #[test]
-fn a_hedge_goes_elsewhere_than_the_request_that_is_late() {
-    let mut bench = two_warm();
-    let late = sent_to(&mut bench, "a");
-    // `b` is so slow that more would go to `a`, and still better for a second try.
+fn a_hedge_goes_to_another_upstream_than_the_late_request() {
+    let mut fixture = two_warm();
+    let late = sent_to(&mut fixture, "a");
+    // `b` is so slow that ordinary requests go to `a`, but a hedge should still go to `b`.
     loop {
-        let next = bench.granted();
+        let next = fixture.granted();
         if next.upstream.name == "a" {
-            bench.release(&next, Outcome::Answered(10 * MS));
+            fixture.release(&next, Outcome::Answered(10 * MS));
             break;
         }
-        bench.release(&next, Outcome::Answered(35 * MS));
+        fixture.release(&next, Outcome::Answered(35 * MS));
     }
-    bench.now = late.sent + 50 * MS;
-    let Decision::Granted(first) = bench.offer_as(1_000 * MS, 5, false) else {
+    fixture.now = late.sent + 50 * MS;
+    let Decision::Granted(first) = fixture.offer_as(1_000 * MS, 5, false) else {
         panic!()
     };
-    let Decision::Granted(hedge) = bench.offer_as(1_000 * MS, 5, true) else {
+    let Decision::Granted(hedge) = fixture.offer_as(1_000 * MS, 5, true) else {
         panic!()
     };
     assert_eq!(first.upstream.name, "a");
@@ -347,131 +351,140 @@
 }
 
 #[test]
-fn a_caller_that_left_early_tells_nothing() {
-    let mut bench = two_warm();
-    let left = sent_to(&mut bench, "a");
-    bench.now += 5 * MS;
-    bench.release(&left, Outcome::Cancelled);
-    let places = filled(&mut bench);
+fn an_early_cancellation_does_not_count_against_the_upstream() {
+    let mut fixture = two_warm();
+    let left = sent_to(&mut fixture, "a");
+    fixture.now += 5 * MS;
+    fixture.release(&left, Outcome::Cancelled);
+    let places = filled(&mut fixture);
     assert_eq!(places.iter().filter(|name| *name == "a").count(), 4);
 }
 
-/// An upstream that says that it accepts no work gets none, whatever it still answers.
+/// An upstream that reports that it accepts no work gets none, even if it still answers.
 #[test]
-fn who_says_that_it_accepts_no_work_gets_none_until_it_says_otherwise() {
-    let mut bench = Bench::new(&[upstream("a", 3, "active")], Duration::ZERO);
-    let earlier = bench.granted();
-    let says = |healthy| LoadReport {
+fn an_upstream_that_reports_unhealthy_gets_no_work_until_healthy() {
+    let mut fixture = Fixture::new(&[upstream("a", 3, "active")], Duration::ZERO);
+    let earlier = fixture.granted();
+    let report = |healthy| LoadReport {
         in_flight: 1,
         healthy,
     };
-    bench.pool.report(bench.now, &"a".to_owned(), &says(false));
+    fixture
+        .pool
+        .report(fixture.now, &"a".to_owned(), &report(false));
     let refused = Decision::Refused(ErrorKind::NoUpstream);
-    assert_eq!(bench.offer(1_000 * MS, 5), refused);
-    bench.release(&earlier, Outcome::Answered(10 * MS));
-    assert_eq!(bench.offer(1_000 * MS, 5), refused, "after an answer");
-    bench.pool.report(bench.now, &"a".to_owned(), &says(true));
-    bench.granted();
+    assert_eq!(fixture.offer(1_000 * MS, 5), refused);
+    fixture.release(&earlier, Outcome::Answered(10 * MS));
+    assert_eq!(fixture.offer(1_000 * MS, 5), refused, "after an answer");
+    fixture
+        .pool
+        .report(fixture.now, &"a".to_owned(), &report(true));
+    fixture.granted();
 }
 
 const REST: Duration = Duration::from_secs(3);
 
-/// An upstream that has refused a request and asked for rest.
-fn resting(names: &[&str]) -> Bench {
+/// Upstreams that rejected a request and requested a rest.
+fn resting(names: &[&str]) -> Fixture {
     let upstreams: Vec<Arc<Upstream>> = names.iter().map(|n| upstream(n, 3, "active")).collect();
-    let mut bench = Bench::new(&upstreams, Duration::ZERO);
-    bench.warm_up();
-    let grants: Vec<Grant> = names.iter().map(|_| bench.granted()).collect();
-    let earlier = bench.granted();
+    let mut fixture = Fixture::new(&upstreams, Duration::ZERO);
+    fixture.warm_up();
+    let grants: Vec<Grant> = names.iter().map(|_| fixture.granted()).collect();
+    let earlier = fixture.granted();
     for grant in &grants {
-        bench.release(grant, Outcome::Rests(REST));
+        fixture.release(grant, Outcome::Rests(REST));
     }
-    bench.release(&earlier, Outcome::Answered(10 * MS));
-    bench
+    fixture.release(&earlier, Outcome::Answered(10 * MS));
+    fixture
 }
 
 #[test]
-fn who_wants_rest_gets_nothing_until_it_is_over_then_one_request() {
-    let mut bench = resting(&["a"]);
-    assert_eq!(bench.pool.load().capacity, 0, "resting slots are no room");
-    bench.now += REST - MS;
-    let soon = bench.offer(20 * MS, 5);
+fn a_resting_upstream_gets_nothing_until_the_end_then_one_request() {
+    let mut fixture = resting(&["a"]);
+    assert_eq!(
+        fixture.pool.load().capacity,
+        0,
+        "resting upstreams have no usable slots"
+    );
+    fixture.now += REST - MS;
+    let soon = fixture.offer(20 * MS, 5);
     assert!(
         matches!(soon, Decision::Queued(_)),
-        "its end is near: {soon:?}"
+        "the end of the rest is near: {soon:?}"
     );
-    bench.now += MS;
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    fixture.now += MS;
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     let [QueueStep::Granted(trial)] = &steps[..] else {
         panic!("{steps:?}");
     };
-    let next = bench.offer(100 * MS, 5);
+    let next = fixture.offer(100 * MS, 5);
     assert!(matches!(next, Decision::Queued(_)), "{next:?}");
-    bench.pool.first_byte(bench.now, trial);
-    let steps = bench.release(trial, Outcome::Answered(10 * MS));
+    fixture.pool.first_byte(fixture.now, trial);
+    let steps = fixture.release(trial, Outcome::Answered(10 * MS));
     assert!(matches!(&steps[..], [QueueStep::Granted(_)]), "{steps:?}");
 }
 
-/// The first request after a rest gets no answer before its deadline: the next decides.
+/// The first request after a rest gets no answer before its deadline, so the next one is the
+/// trial.
 #[test]
-fn a_deadline_that_passes_does_not_end_the_trial_after_a_rest() {
-    let mut bench = resting(&["a"]);
-    bench.now += REST;
-    let trial = bench.granted();
-    bench.now += 20 * MS;
-    bench.release(&trial, Outcome::Answered(20 * MS));
-    let next = bench.granted();
-    let after = bench.offer(100 * MS, 5);
+fn a_passed_deadline_does_not_end_the_trial_after_a_rest() {
+    let mut fixture = resting(&["a"]);
+    fixture.now += REST;
+    let trial = fixture.granted();
+    fixture.now += 20 * MS;
+    fixture.release(&trial, Outcome::Answered(20 * MS));
+    let next = fixture.granted();
+    let after = fixture.offer(100 * MS, 5);
     assert!(matches!(after, Decision::Queued(_)), "{after:?}");
-    bench.pool.first_byte(bench.now, &next);
-    let steps = bench.pool.advance(bench.now, &mut bench.rng);
+    fixture.pool.first_byte(fixture.now, &next);
+    let steps = fixture.pool.advance(fixture.now, &mut fixture.rng);
     assert!(matches!(&steps[..], [QueueStep::Granted(_)]), "{steps:?}");
 }
 
 #[test]
-fn who_can_not_wait_for_the_end_of_a_rest_is_refused_at_once() {
-    let mut bench = resting(&["a"]);
+fn requests_that_cannot_wait_for_the_end_of_a_rest_are_refused_at_once() {
+    let mut fixture = resting(&["a"]);
     let refused = Decision::Refused(ErrorKind::NoCapacity);
-    assert_eq!(bench.offer(REST, 5), refused);
+    assert_eq!(fixture.offer(REST, 5), refused);
 }
 
 #[test]
-fn another_gets_the_work_of_one_that_rests() {
-    let mut bench = Bench::new(
+fn other_upstreams_take_over_while_one_rests() {
+    let mut fixture = Fixture::new(
         &[upstream("a", 3, "active"), upstream("b", 3, "active")],
         Duration::ZERO,
     );
-    let first = bench.granted();
-    bench.release(&first, Outcome::Rests(REST));
+    let first = fixture.granted();
+    fixture.release(&first, Outcome::Rests(REST));
     for _ in 0..20 {
-        let grant = bench.granted();
+        let grant = fixture.granted();
         assert_ne!(grant.upstream.name, first.upstream.name);
-        bench.release(&grant, Outcome::Answered(10 * MS));
+        fixture.release(&grant, Outcome::Answered(10 * MS));
     }
 }
 
 #[test]
-fn the_load_told_to_others_counts_slots_again_after_a_rest() {
-    let mut bench = resting(&["a"]);
+fn the_reported_load_counts_slots_again_after_a_rest() {
+    let mut fixture = resting(&["a"]);
     let report = LoadReport {
         in_flight: 0,
         healthy: true,
     };
-    bench.pool.report(bench.now, &"a".to_owned(), &report);
-    assert_eq!(bench.pool.load().capacity, 0);
-    bench
+    fixture.pool.report(fixture.now, &"a".to_owned(), &report);
+    assert_eq!(fixture.pool.load().capacity, 0);
+    fixture
         .pool
-        .report(bench.now + REST, &"a".to_owned(), &report);
-    assert!(bench.pool.load().capacity > 0);
+        .report(fixture.now + REST, &"a".to_owned(), &report);
+    assert!(fixture.pool.load().capacity > 0);
 }
 
-/// The first request after a rest is refused with a rest of no time: that too is an answer.
+/// The first request after a rest is rejected with a rest of zero length, which is an answer too.
 #[test]
-fn a_rest_of_no_time_ends_the_trial_after_a_rest() {
-    let mut bench = resting(&["a"]);
-    bench.now += REST;
-    let trial = bench.granted();
-    bench.release(&trial, Outcome::Rests(Duration::ZERO));
-    bench.now += 200 * MS;
-    bench.granted();
+fn a_rest_of_zero_length_ends_the_trial_after_a_rest() {
+    let mut fixture = resting(&["a"]);
+    fixture.now += REST;
+    let trial = fixture.granted();
+    fixture.release(&trial, Outcome::Rests(Duration::ZERO));
+    fixture.now += 200 * MS;
+    fixture.granted();
 }
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -191,7 +191,7 @@
     assert_eq!(pool(&service).room(later, usual), 6.0);
     let choice = member(&service, "i-0");
     assert!(
-        choice.condition().stated.limit_heard(later).is_some(),
+        choice.condition().stated.known_limit(later).is_some(),
         "it still binds"
     );
 }
@@ -218,7 +218,7 @@
         stated.limit(heard + 30 * MS, now + sent_ms * MS, None),
         change
     );
-    assert_eq!(stated.limit_heard(heard).is_some(), change.is_none());
+    assert_eq!(stated.known_limit(heard).is_some(), change.is_none());
 }
 
 #[test]
@@ -229,7 +229,7 @@
     condition.stated.limit_exhausted(now, WAIT);
     let change = condition.stated.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
-    assert_eq!(condition.stated.limit_heard(now + MS).unwrap().per_s, 2.0);
+    assert_eq!(condition.stated.known_limit(now + MS).unwrap().per_s, 2.0);
     assert!(
         condition.obstacle(now + MS).is_some(),
         "tokens are as scarce"
--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself binds until it ends, whatever else is learned of it.
+//! Statements of an upstream apply until they end, whatever else is observed of the upstream.
 
 use std::time::{Duration, Instant};
 
@@ -8,15 +8,15 @@
 
 const MS: Duration = Duration::from_millis(1);
 const REST: Duration = Duration::from_secs(3);
-/// Work that is over soon.
-const WORK: Duration = Duration::from_millis(200);
+/// Duration of a short request.
+const REQUEST_TIME: Duration = Duration::from_millis(200);
 
 fn send(condition: &mut Condition, at: Instant) -> Instant {
     condition.sent(at);
     at
 }
 
-/// The head of an answer to what was sent at `sent`, as a host takes it.
+/// Applies the head of an answer to a request sent at `sent`, as a host does.
 fn answer(condition: &mut Condition, sent: Instant, at: Instant, answered: Answered) {
     condition.answered(at, answered);
     if answered.shows_life() {
@@ -26,14 +26,14 @@
     condition.ended(at);
 }
 
-/// What may come after a statement, and must not undo it.
+/// Outcomes that may follow a statement and must not revoke it.
 #[rstest]
 #[case::an_answer(Answered::Whole)]
 #[case::a_refusal(Answered::Refused)]
 #[case::a_failure(Answered::Failed)]
 #[case::a_broken_answer(Answered::Broken)]
 #[case::a_caller_that_left(Answered::Unknown)]
-fn what_comes_of_earlier_requests_undoes_no_statement(#[case] answered: Answered) {
+fn outcomes_of_earlier_requests_revoke_no_statement(#[case] answered: Answered) {
     let now = Instant::now();
     let mut condition = Condition::default();
     let sent = send(&mut condition, now);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_rest_does_not_grow_with_failures_and_a_pause_not_with_rests() {
+fn failures_do_not_extend_a_rest_and_rests_do_not_extend_a_pause() {
     let now = Instant::now();
     let mut condition = Condition::default();
     condition.stated.rest(now, REST);
@@ -70,7 +70,7 @@
 #[case::a_shorter_one(2 * REST, Duration::ZERO, REST, 2 * REST)]
 #[case::a_later_end(REST, REST / 2, REST, REST + REST / 2)]
 #[case::none(REST, REST / 2, Duration::ZERO, REST)]
-fn of_rests_that_overlap_the_later_end_holds(
+fn of_overlapping_rests_the_later_end_applies(
     #[case] first: Duration,
     #[case] after: Duration,
     #[case] second: Duration,
@@ -87,7 +87,7 @@
     assert_eq!(stated.obstacle(now + ends), None);
 }
 
-/// How the first request after a rest ends, and whether the next may be sent at once.
+/// Outcomes of the first request after a rest, and the obstacle that follows.
 #[rstest]
 #[case::answered(Answered::Whole, None, None)]
 #[case::full(Answered::Refused, None, None)]
@@ -104,13 +104,17 @@
     let mut condition = Condition::default();
     let earlier = send(&mut condition, now);
     condition.stated.rest(now, REST);
-    let over = now + REST;
-    let trial = send(&mut condition, over);
-    assert_eq!(condition.obstacle(over), Some(Obstacle::TrialPending));
-    answer(&mut condition, earlier, over + MS, Answered::Whole);
-    let still = condition.obstacle(over + MS);
-    assert_eq!(still, Some(Obstacle::TrialPending), "an earlier answer");
-    let ended = over + WORK;
+    let rest_end = now + REST;
+    let trial = send(&mut condition, rest_end);
+    assert_eq!(condition.obstacle(rest_end), Some(Obstacle::TrialPending));
+    answer(&mut condition, earlier, rest_end + MS, Answered::Whole);
+    let still = condition.obstacle(rest_end + MS);
+    assert_eq!(
+        still,
+        Some(Obstacle::TrialPending),
+        "the answer belongs to an earlier request"
+    );
+    let ended = rest_end + REQUEST_TIME;
     if let Some(rest) = rest {
         condition.stated.rest(ended, rest);
     }
@@ -118,29 +122,34 @@
     assert_eq!(condition.obstacle(ended), obstacle);
 }
 
-/// Nine hosts with twenty requests each, that wait for the end of the same rest and come in
-/// the same moment; the upstream answers one usual time later.
+/// Nine hosts with twenty requests each wait for the end of the same rest. Without a trial all 180
+/// requests would be sent at the same moment.
 #[test]
-fn hosts_and_callers_do_not_all_come_at_the_end_of_a_rest() {
+fn each_host_sends_one_trial_at_the_end_of_a_rest() {
     const HOSTS: usize = 9;
     const WAITING: usize = 20;
     let now = Instant::now();
-    let over = now + REST;
+    let rest_end = now + REST;
     let mut sent_at_once = 0;
     let mut sent_later = 0;
     for _ in 0..HOSTS {
         let mut condition = Condition::default();
         condition.stated.rest(now, REST);
         for _ in 0..WAITING {
-            if condition.is_usable(over) {
-                send(&mut condition, over);
+            if condition.is_usable(rest_end) {
+                send(&mut condition, rest_end);
                 sent_at_once += 1;
             }
         }
-        answer(&mut condition, over, over + WORK, Answered::Whole);
+        answer(
+            &mut condition,
+            rest_end,
+            rest_end + REQUEST_TIME,
+            Answered::Whole,
+        );
         for _ in 0..WAITING {
-            if condition.is_usable(over + WORK) {
-                send(&mut condition, over + WORK);
+            if condition.is_usable(rest_end + REQUEST_TIME) {
+                send(&mut condition, rest_end + REQUEST_TIME);
                 sent_later += 1;
             }
         }
@@ -148,7 +157,7 @@
     assert_eq!((sent_at_once, sent_later), (HOSTS, HOSTS * WAITING));
 }
 
-/// What bars a request that was chosen before and has waited since.
+/// Obstacles that block a request whose upstream was chosen earlier.
 #[rstest]
 #[case::replaced(Obstacle::Replaced, true)]
 #[case::leaves(Obstacle::Leaves, true)]
@@ -156,6 +165,6 @@
 #[case::is_itself_the_first(Obstacle::TrialPending, false)]
 #[case::failed(Obstacle::Failed, false)]
 #[case::silent(Obstacle::Silent, false)]
-fn what_is_stated_bars_what_was_chosen_before(#[case] obstacle: Obstacle, #[case] bars: bool) {
+fn statements_block_requests_chosen_earlier(#[case] obstacle: Obstacle, #[case] bars: bool) {
     assert_eq!(obstacle.blocks_chosen_request(), bars);
 }
