--- a/crates/caller/src/answers.rs
+++ b/crates/caller/src/answers.rs
@@ -28,7 +28,7 @@
     fn from(kind: ErrorKind) -> Self {
         Failure {
             kind,
-            not_run: kind.answer().not_run,
+            not_run: kind.response().not_run,
         }
     }
 }
@@ -54,7 +54,7 @@
 /// The answer for a failure.
 pub fn failure(failed: Failure, request_id: &str) -> Response<Body> {
     let Failure { kind, not_run } = failed;
-    let row = kind.answer();
+    let row = kind.response();
     let body = ErrorBody {
         error: kind,
         not_run,
--- a/crates/caller/src/claims.rs
+++ b/crates/caller/src/claims.rs
@@ -1,7 +1,7 @@
 //! The border to the platform's claims and receipts.
 
 use futures::future::BoxFuture;
-use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Ending, Fingerprint};
+use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Fingerprint, WorkOutcome};
 use steering::ids::ClaimId;
 
 /// Claims and receipts, kept in the platform by whoever implements this.
@@ -20,7 +20,7 @@
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
-        ending: Option<Ending>,
+        ending: Option<WorkOutcome>,
     );
 
     /// Reads a claim; an error says why it can't be read.
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -180,7 +180,7 @@
     let answer = format!(
         "HTTP/1.1 {} Service Unavailable\r\nstagedeck-error: {}\r\nstagedeck-not-run: {}\r\n\
          retry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
-        failed.kind.answer().status,
+        failed.kind.response().status,
         failed.kind,
         failed.not_run
     );
--- a/crates/caller/src/steer.rs
+++ b/crates/caller/src/steer.rs
@@ -12,7 +12,7 @@
 use steering::limiter::LimitKey;
 use steering::membership::HostEntry;
 use steering::pool::PoolLoad;
-use steering::retry::Attempt;
+use steering::retry::FailedAttempt;
 use steering::view::Target;
 use tokio::time::sleep;
 use upstream::{Body, Reuse, SendError, WorkBody};
@@ -80,7 +80,7 @@
     head: &WorkHead,
     body: &mut WorkBody,
 ) -> Result<Response<Body>, Failure> {
-    shared.with_budget(&head.service, |budget| budget.first());
+    shared.with_budget(&head.service, |budget| budget.record_first_attempt());
     let places = places(shared, head);
     if places.is_empty() {
         return Err(ErrorKind::NoUpstream.into());
@@ -101,10 +101,11 @@
                 spills += 1;
                 (miss.kind(), spills <= SPILLS && spills < places.len())
             }
-            Miss::NotRun(kind) => (kind, may_retry(shared, head, Attempt::NotRun)),
-            Miss::MayHaveRun(_) | Miss::Silent => {
-                (miss.kind(), may_retry(shared, head, Attempt::MayHaveRun))
-            }
+            Miss::NotRun(kind) => (kind, may_retry(shared, head, FailedAttempt::NotRun)),
+            Miss::MayHaveRun(_) | Miss::Silent => (
+                miss.kind(),
+                may_retry(shared, head, FailedAttempt::MayHaveRun),
+            ),
         };
         let in_time = clock::now() < head.deadline;
         if !again || !in_time || attempts >= ATTEMPTS {
@@ -123,7 +124,7 @@
         Miss::Refused(_) | Miss::NotRun(_) | Miss::Unreachable => NotRun::True,
         Miss::MayHaveRun(_) | Miss::Silent => NotRun::Unknown,
     };
-    if kind.answer().not_run == not_run {
+    if kind.response().not_run == not_run {
         return Failure { kind, not_run };
     }
     match not_run {
@@ -132,8 +133,10 @@
     }
 }
 
-fn may_retry(shared: &Shared, head: &WorkHead, last: Attempt) -> bool {
-    shared.with_budget(&head.service, |budget| budget.again(last, head.repeatable))
+fn may_retry(shared: &Shared, head: &WorkHead, last: FailedAttempt) -> bool {
+    shared.with_budget(&head.service, |budget| {
+        budget.try_spend_retry(last, head.repeatable)
+    })
 }
 
 fn places(shared: &Shared, head: &WorkHead) -> Vec<Plan> {
@@ -160,7 +163,7 @@
                 owners: view.owners(zone, &pool).into_iter().cloned().collect(),
                 limits: view.plan.limits_of(rule, from, zone),
                 priority: service.service.priority,
-                own: view.own_count(&head.service, zone).cloned(),
+                own: view.own_in_flight_count(&head.service, zone).cloned(),
                 hedge_after: hedge_after(target),
                 zone: zone.clone(),
                 pool,
@@ -198,7 +201,7 @@
             break;
         }
     }
-    if !may_retry(shared, head, Attempt::MayHaveRun) {
+    if !may_retry(shared, head, FailedAttempt::MayHaveRun) {
         return first.await;
     }
     tracing::debug!(event = "hedge", id = head.id, zone = place.zone);
--- a/crates/caller/src/ticketed.rs
+++ b/crates/caller/src/ticketed.rs
@@ -8,8 +8,8 @@
 use hyper::header::{self, HeaderMap};
 use sha2::{Digest, Sha256};
 use steering::claim::{
-    AttemptId, CLAIM_DISPATCH_WINDOW, ClaimOutcome, Ending, Fingerprint, Receipt, Spend,
-    fingerprint, judge,
+    AttemptId, CLAIM_DISPATCH_WINDOW, ClaimOutcome, Fingerprint, Receipt, TicketDecision,
+    WorkOutcome, decide_existing_claim, fingerprint,
 };
 use steering::document::TicketMode;
 use steering::error::{ErrorKind, NotRun};
@@ -73,7 +73,7 @@
     let Some(ticket_text) = ticket_text else {
         return run_keyed(shared, head, body, fingerprint).await;
     };
-    let ticket = ticket::read(ticket_text).map_err(|_| ErrorKind::TicketInvalid)?;
+    let ticket = ticket::decode_unverified(ticket_text).map_err(|_| ErrorKind::TicketInvalid)?;
     if shared.issuer.issued(&ticket) {
         let now = clock::elapsed(shared.started);
         let ticket = match shared.issuer.verify(ticket_text, &head.service, now) {
@@ -148,7 +148,7 @@
         // Read under the lock: whoever forgot the ticket before did so at an earlier time.
         let now = clock::now();
         let remembered = now < lapse_of(shared, ticket) + shared.config.ticket_ttl;
-        (spent.recall(&ticket.id, fingerprint), remembered)
+        (spent.status(&ticket.id, fingerprint), remembered)
     };
     if let Some(spent) = recalled {
         return tell(spent, ticket.mode);
@@ -157,20 +157,20 @@
         return Err(ErrorKind::TicketLapsed.into());
     }
     match shared.claims.find(ticket.id.clone()).await {
-        Ok(Some(row)) => tell(judge(&row, fingerprint, false), ticket.mode),
+        Ok(Some(row)) => tell(decide_existing_claim(&row, fingerprint, false), ticket.mode),
         Ok(None) | Err(_) => Err(ErrorKind::OutcomeUnknown.into()),
     }
 }
 
 /// What a caller is told of work that does not run now.
-fn tell(spent: Spend, mode: TicketMode) -> Result<Response<Body>, Failure> {
+fn tell(spent: TicketDecision, mode: TicketMode) -> Result<Response<Body>, Failure> {
     match spent {
-        Spend::Replay(ending) => replay(ending),
-        Spend::Conflict => Err(ErrorKind::TicketConflict.into()),
-        Spend::Run | Spend::InProgress => Err(ErrorKind::InProgress.into()),
-        Spend::Full if mode == TicketMode::Home => Err(ErrorKind::HostBusy.into()),
+        TicketDecision::Replay(ending) => replay(ending),
+        TicketDecision::Conflict => Err(ErrorKind::TicketConflict.into()),
+        TicketDecision::Run | TicketDecision::InProgress => Err(ErrorKind::InProgress.into()),
+        TicketDecision::Full if mode == TicketMode::Home => Err(ErrorKind::HostBusy.into()),
         // Another host may have run it.
-        Spend::Full => Err(Failure::before_ticket(ErrorKind::HostBusy)),
+        TicketDecision::Full => Err(Failure::before_ticket(ErrorKind::HostBusy)),
     }
 }
 
@@ -188,7 +188,7 @@
     }
     // In mode `home` nobody else ever runs it; without a receipt it may have run.
     match shared.claims.find(ticket.id.clone()).await {
-        Ok(Some(row)) => tell(judge(&row, &fingerprint, true), ticket.mode),
+        Ok(Some(row)) => tell(decide_existing_claim(&row, &fingerprint, true), ticket.mode),
         Ok(None) | Err(_) => Err(ErrorKind::OutcomeUnknown.into()),
     }
 }
@@ -260,8 +260,8 @@
 ) -> Result<Response<Body>, Failure> {
     let spend = shared
         .spent()
-        .spend(clock::now(), &once.id, &once.fingerprint, once.forget_at);
-    if spend != Spend::Run {
+        .begin(clock::now(), &once.id, &once.fingerprint, once.forget_at);
+    if spend != TicketDecision::Run {
         return tell(spend, once.mode);
     }
     let shared = Arc::clone(shared);
@@ -285,11 +285,11 @@
     {
         return match answer {
             Ok(ending) => {
-                shared.spent().end(&once.id, ending.clone());
+                shared.spent().complete(&once.id, ending.clone());
                 replay(ending)
             }
             Err(kind) => {
-                shared.spent().give_back(&once.id);
+                shared.spent().release(&once.id);
                 Err(kind.into())
             }
         };
@@ -305,7 +305,7 @@
         Err(failure) => {
             let ending = match failure.not_run {
                 NotRun::True => None,
-                NotRun::False | NotRun::Unknown => Some(Ending::Unknown),
+                NotRun::False | NotRun::Unknown => Some(WorkOutcome::Unknown),
             };
             end(shared, &once, ending);
             Err(failure)
@@ -314,7 +314,7 @@
 }
 
 /// Writes the claim; `Err` holds how it ended before, or why it can't run now.
-async fn claim(shared: &Shared, once: &Once) -> Result<(), Result<Ending, ErrorKind>> {
+async fn claim(shared: &Shared, once: &Once) -> Result<(), Result<WorkOutcome, ErrorKind>> {
     let outcome = shared
         .claims
         .claim(once.id.clone(), once.attempt, once.fingerprint.clone())
@@ -339,9 +339,9 @@
     }
     let same_host = row.host == view.me.name;
     let gone = same_host || view.host(&row.host).is_none();
-    match judge(&row, &once.fingerprint, gone) {
-        Spend::Replay(ending) => Err(Ok(ending)),
-        Spend::Conflict => Err(Err(ErrorKind::TicketConflict)),
+    match decide_existing_claim(&row, &once.fingerprint, gone) {
+        TicketDecision::Replay(ending) => Err(Ok(ending)),
+        TicketDecision::Conflict => Err(Err(ErrorKind::TicketConflict)),
         _ => Err(Err(ErrorKind::InProgress)),
     }
 }
@@ -375,25 +375,25 @@
     match hold(body, shared.config.limits.kept_answer_bytes).await {
         Ok(Held::Whole(bytes)) => {
             receipt.body = Some(bytes.clone());
-            end(shared, once, Some(Ending::Ran(receipt)));
+            end(shared, once, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, full(bytes)))
         }
         Ok(Held::Streaming(body)) => {
-            end(shared, once, Some(Ending::Ran(receipt)));
+            end(shared, once, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, body))
         }
         Err(_) => {
             // It ran, and what it answered is lost.
-            end(shared, once, Some(Ending::Ran(receipt)));
+            end(shared, once, Some(WorkOutcome::Ran(receipt)));
             Err(ErrorKind::AnswerNotKept.into())
         }
     }
 }
 
-fn end(shared: &Shared, once: &Once, ending: Option<Ending>) {
+fn end(shared: &Shared, once: &Once, ending: Option<WorkOutcome>) {
     match &ending {
-        Some(ending) => shared.spent().end(&once.id, ending.clone()),
-        None => shared.spent().give_back(&once.id),
+        Some(ending) => shared.spent().complete(&once.id, ending.clone()),
+        None => shared.spent().release(&once.id),
     }
     let written_before = once.mode == TicketMode::Store;
     if ending.is_some() || written_before {
@@ -404,8 +404,8 @@
     }
 }
 
-fn replay(ending: Ending) -> Result<Response<Body>, Failure> {
-    let Ending::Ran(receipt) = ending else {
+fn replay(ending: WorkOutcome) -> Result<Response<Body>, Failure> {
+    let WorkOutcome::Ran(receipt) = ending else {
         return Err(ErrorKind::OutcomeUnknown.into());
     };
     let Some(body) = receipt.body else {
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -241,8 +241,8 @@
             sequence: self.beats.get(),
             leaving,
             // Each host judges for itself whom it names to callers.
-            doubts: BTreeSet::new(),
-            vouches: BTreeSet::new(),
+            suspected_hosts: BTreeSet::new(),
+            confirmed_hosts: BTreeSet::new(),
             lenders: BTreeSet::new(),
         };
         Beat {
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -5,7 +5,7 @@
 
 use derive_more::{Display, Error};
 use serde::de::DeserializeOwned;
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use ureq::Agent;
 
 use crate::messages::{InForce, Status};
@@ -79,7 +79,7 @@
     }
 
     /// Proposes a change. An error means that its outcome is not known.
-    pub fn propose(&self, proposal: &Proposal) -> Result<Verdict, ClientError> {
+    pub fn propose(&self, proposal: &Proposal) -> Result<ProposalOutcome, ClientError> {
         let answer = self.agent.post(self.url(CHANGES_PATH)).send_json(proposal);
         self.parse(answer)
     }
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 use steering::Document;
-use steering::belief::ServiceLoad;
 use steering::ids::{HostName, Incarnation, Revision, UpstreamName, ZoneName};
+use steering::load_estimate::ServiceLoad;
 use steering::membership::HostEntry;
 
 /// The configuration in force on a host.
--- a/crates/operator/src/server.rs
+++ b/crates/operator/src/server.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, JoinHandle};
 
 use serde::Serialize;
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use tiny_http::{Header, Method, Request, Response, Server};
 
 use crate::messages::{InForce, Status};
@@ -25,7 +25,7 @@
     /// Metrics as Prometheus text.
     fn metrics(&self) -> String;
     /// Proposes a change to the platform.
-    fn propose(&self, proposal: Proposal) -> Verdict;
+    fn propose(&self, proposal: Proposal) -> ProposalOutcome;
 }
 
 /// The endpoint of a host; it ends when dropped.
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use capnp::{Error, text_list};
-use steering::belief::{SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::history::Position;
 use steering::ids::Incarnation;
 use steering::limiter::{LoanGrant, LoanRequest};
+use steering::load_estimate::{SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::pool::PoolLoad;
 
@@ -159,13 +159,17 @@
     to.set_revision(beat.revision);
     to.set_leaving(heartbeat.leaving);
     // A list that is left out takes no room.
-    if !heartbeat.doubts.is_empty() {
-        let doubts = to.reborrow().init_doubts(heartbeat.doubts.len() as u32);
-        write_texts(doubts, heartbeat.doubts.iter());
+    if !heartbeat.suspected_hosts.is_empty() {
+        let doubts = to
+            .reborrow()
+            .init_doubts(heartbeat.suspected_hosts.len() as u32);
+        write_texts(doubts, heartbeat.suspected_hosts.iter());
     }
-    if !heartbeat.vouches.is_empty() {
-        let vouches = to.reborrow().init_vouches(heartbeat.vouches.len() as u32);
-        write_texts(vouches, heartbeat.vouches.iter());
+    if !heartbeat.confirmed_hosts.is_empty() {
+        let vouches = to
+            .reborrow()
+            .init_vouches(heartbeat.confirmed_hosts.len() as u32);
+        write_texts(vouches, heartbeat.confirmed_hosts.iter());
     }
     if !heartbeat.lenders.is_empty() {
         let lenders = to.reborrow().init_lenders(heartbeat.lenders.len() as u32);
@@ -200,8 +204,8 @@
             incarnation,
             sequence: from.get_sequence(),
             leaving: from.get_leaving(),
-            doubts: read_texts(from.get_doubts()?)?,
-            vouches: read_texts(from.get_vouches()?)?,
+            suspected_hosts: read_texts(from.get_doubts()?)?,
+            confirmed_hosts: read_texts(from.get_vouches()?)?,
             lenders: read_texts(from.get_lenders()?)?,
         },
         revision: from.get_revision(),
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use steering::belief::{ServiceLoad, ZoneSummary};
 use steering::history::{Entry, Position, Snapshot};
 use steering::ids::{Incarnation, Revision};
+use steering::load_estimate::{ServiceLoad, ZoneSummary};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::route::{Answering, Changes, Feed, FeedDigest, FeedVersion, News, Record};
 
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -9,10 +9,10 @@
     Beat, EncodedNews, Exchange, ExchangeReply, Local, PeerClient, PeerHandler, PeerServer,
 };
 use rstest::rstest;
-use steering::belief::{ServiceLoad, ZoneSummary};
 use steering::history::{Entry, Position};
 use steering::ids::{HostName, Incarnation, Revision, ServiceName};
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
+use steering::load_estimate::{ServiceLoad, ZoneSummary};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::pool::PoolLoad;
 use steering::route::{Answering, Feed, News, Record};
@@ -120,8 +120,8 @@
             incarnation: 5,
             sequence: 9,
             leaving: true,
-            doubts: ["a".to_owned()].into(),
-            vouches: ["b".to_owned()].into(),
+            suspected_hosts: ["a".to_owned()].into(),
+            confirmed_hosts: ["b".to_owned()].into(),
             lenders: ["c".to_owned(), "d".to_owned()].into(),
         },
         revision: 4,
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use stagedeck::{Addresses, Config, Host, Sockets};
 use steering::Document;
-use steering::document::{Change, Edit, Proposal, Verdict};
+use steering::document::{Change, Edit, Proposal, ProposalOutcome};
 use steering::history::History;
 use steering::ids::Revision;
 use store::{ConfigStore, HttpPlatform};
@@ -337,7 +337,7 @@
     }
 
     /// Proposes one edit at a host, against what is in force there.
-    pub fn propose(&self, host: &str, edit: Edit) -> io::Result<Verdict> {
+    pub fn propose(&self, host: &str, edit: Edit) -> io::Result<ProposalOutcome> {
         let operator = self.operator(host);
         let base = operator.document().map_err(io::Error::other)?.revision;
         let change = Change {
@@ -351,7 +351,7 @@
     /// Proposes one edit, and waits until it is in force on every host.
     pub fn put_in_force(&self, host: &str, edit: Edit) -> io::Result<Duration> {
         let begun = Instant::now();
-        let Verdict::Accepted(revision) = self.propose(host, edit)? else {
+        let ProposalOutcome::Accepted(revision) = self.propose(host, edit)? else {
             return Err(io::Error::other("the change was not accepted"));
         };
         eventually("the change is in force on every host", || {
@@ -415,7 +415,7 @@
     let proposal = Proposal { change, base: 0 };
     let verdict = ConfigStore::new(&platform).propose(&mut History::default(), &proposal);
     match verdict {
-        Verdict::Accepted(_) => Ok(()),
+        ProposalOutcome::Accepted(_) => Ok(()),
         other => Err(io::Error::other(format!("{other:?}"))),
     }
 }
--- a/crates/standin/src/measure/capacity/hosts.rs
+++ b/crates/standin/src/measure/capacity/hosts.rs
@@ -6,7 +6,7 @@
 
 use peer::Beat;
 use serde_json::Value;
-use steering::belief::ServiceLoad;
+use steering::load_estimate::ServiceLoad;
 use steering::membership::{Membership, Timing};
 use steering::pool::PoolLoad;
 use steering::rendezvous;
@@ -42,7 +42,7 @@
                 time_us(|| {
                     next = (next + 1) % others.len();
                     let beat = others[next].heartbeat(now, Default::default());
-                    me.heard(now, beat);
+                    me.receive(now, beat);
                 })
             }),
         ),
@@ -53,10 +53,10 @@
             over(SIZES, |hosts| {
                 let (mut me, mut others, now) = membership(hosts);
                 for other in &mut others {
-                    me.heard(now, other.heartbeat(now, Default::default()));
+                    me.receive(now, other.heartbeat(now, Default::default()));
                 }
                 time_us(|| {
-                    black_box(me.staying(now));
+                    black_box(me.accepting_hosts(now));
                 })
             }),
         ),
@@ -65,7 +65,7 @@
             &HOSTS_IN_ZONE,
             "KB/s of heartbeats out",
             over(SIZES, |hosts| {
-                let every = Timing::of(hosts).beat_every.as_secs_f64();
+                let every = Timing::of(hosts).heartbeat_interval.as_secs_f64();
                 (hosts - 1) as f64 * beat_bytes / every / 1e3
             }),
         ),
@@ -75,7 +75,7 @@
             "s until a silent host is gone",
             over(SIZES, |hosts| {
                 let timing = Timing::of(hosts);
-                (timing.doubt_after + timing.vouch_within).as_secs_f64()
+                (timing.suspect_after + timing.confirm_within).as_secs_f64()
             }),
         ),
         slope(
--- a/crates/standin/src/measure/claims.rs
+++ b/crates/standin/src/measure/claims.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use steering::claim::{Ending, Receipt};
+use steering::claim::{Receipt, WorkOutcome};
 use store::{ClaimRequest, ClaimStore, HttpPlatform, ReceiptWrite};
 
 use super::balance::round;
@@ -64,7 +64,7 @@
             attempt: number as u64,
             fingerprint: fingerprint.clone(),
         }]);
-        let ending = Some(Ending::Ran(receipt));
+        let ending = Some(WorkOutcome::Ran(receipt));
         store
             .finish(&[ReceiptWrite {
                 id,
--- a/crates/standin/src/measure/drain.rs
+++ b/crates/standin/src/measure/drain.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use steering::document::{Edit, Kind, ObjectId, Verdict};
+use steering::document::{Edit, Kind, ObjectId, ProposalOutcome};
 
 use crate::deployment::{Deployment, DeploymentPlan, HostPlan};
 use crate::load::{Load, LoadPlan};
@@ -29,7 +29,7 @@
     };
     let labels = BTreeMap::from([("state".to_owned(), Some("draining".to_owned()))]);
     let verdict = deployment.propose("n1", Edit::Label { object, labels })?;
-    if !matches!(verdict, Verdict::Accepted(_)) {
+    if !matches!(verdict, ProposalOutcome::Accepted(_)) {
         return Err(io::Error::other(format!("{verdict:?}")));
     }
     let target = &deployment.upstreams[upstream];
--- a/crates/standin/src/measure/partition.rs
+++ b/crates/standin/src/measure/partition.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use steering::document::{Edit, Kind, ObjectId, Verdict};
+use steering::document::{Edit, Kind, ObjectId, ProposalOutcome};
 
 use super::balance::round;
 use crate::deployment::{Deployment, DeploymentPlan, HostPlan, eventually};
@@ -54,7 +54,7 @@
     let begun = Instant::now();
     let accepted = matches!(
         deployment.propose("n1", label("norte"))?,
-        Verdict::Accepted(_)
+        ProposalOutcome::Accepted(_)
     );
     thread::sleep(CUT.saturating_sub(begun.elapsed()));
     let during = (deployment.revision("n1"), deployment.revision("p1"));
--- a/crates/standin/src/model/product.rs
+++ b/crates/standin/src/model/product.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use steering::belief::{Beliefs, Report};
 use steering::choice::{LeastExpected, PlaceView, Policy, choose_places};
 use steering::document::Upstream;
 use steering::limiter::{Ledger, LimitKey, Roster, WHOLE_PERMILLE};
+use steering::load_estimate::{LoadReports, Report};
 use steering::plan::{CallerClass, RuleMatch};
 use steering::pool::{Decision, Grant, LoadReport, Offer, Outcome, Pool, PoolLimits, Step, WaitId};
 
@@ -77,7 +77,7 @@
 pub struct Product {
     owners: Vec<Owner>,
     /// What each zone's hosts believe of the others.
-    beliefs: Vec<Beliefs>,
+    beliefs: Vec<LoadReports>,
     own: Vec<Vec<AtomicU32>>,
     ticks: u64,
     /// While true no report reaches anybody.
@@ -134,7 +134,7 @@
         };
         Product {
             owners: engine.world.zones.iter().map(owner).collect(),
-            beliefs: vec![Beliefs::default(); zones],
+            beliefs: vec![LoadReports::default(); zones],
             own: (0..zones)
                 .map(|_| (0..zones).map(|_| AtomicU32::new(0)).collect())
                 .collect(),
@@ -192,7 +192,7 @@
                 continue;
             }
             let own = self.own[entry][zone_number].load(Ordering::Relaxed);
-            let believed = self.beliefs[entry].believe(now, &zone.zone, SERVICE, zone.slots, own);
+            let believed = self.beliefs[entry].estimate(now, &zone.zone, SERVICE, zone.slots, own);
             views.push((
                 zone_number,
                 PlaceView {
@@ -290,7 +290,7 @@
         }
         let report = Report {
             load: self.owners[about].pool.load(),
-            measured: engine.at((engine.now_ms() - delay_ms).max(0.0)),
+            measured_at: engine.at((engine.now_ms() - delay_ms).max(0.0)),
         };
         self.beliefs[to].update(&engine.world.zones[about], SERVICE, report);
     }
--- a/crates/standin/tests/configuration.rs
+++ b/crates/standin/tests/configuration.rs
@@ -8,7 +8,7 @@
     Deployment, DeploymentPlan, Fault, HostPlan, LinkState, PlatformFaults, StandInPlatform,
     any_port, eventually,
 };
-use steering::document::{Change, Edit, Kind, ObjectId, Proposal, Verdict};
+use steering::document::{Change, Edit, Kind, ObjectId, Proposal, ProposalOutcome};
 use steering::history::History;
 use store::{ConfigStore, HttpPlatform};
 
@@ -41,7 +41,7 @@
     let change = steering::Document::default().difference(&document, "first".to_owned());
     let first = Proposal { change, base: 0 };
     let verdict = ConfigStore::new(&client).propose(&mut History::default(), &first);
-    assert_eq!(verdict, Verdict::Accepted(1));
+    assert_eq!(verdict, ProposalOutcome::Accepted(1));
     (platform, client)
 }
 
@@ -53,18 +53,18 @@
     store.poll(&mut history).unwrap();
     assert_eq!(
         store.propose(&mut history, &proposal("a", 1, label("norte", "x"))),
-        Verdict::Accepted(2)
+        ProposalOutcome::Accepted(2)
     );
     assert_eq!(
         store.propose(&mut history, &proposal("b", 1, label("puerto", "y"))),
-        Verdict::Accepted(3)
+        ProposalOutcome::Accepted(3)
     );
     let lost = store.propose(&mut history, &proposal("c", 1, label("norte", "z")));
     let named = ObjectId {
         kind: Kind::Zone,
         name: "norte".to_owned(),
     };
-    assert_eq!(lost, Verdict::Conflict([named].into()));
+    assert_eq!(lost, ProposalOutcome::Conflict([named].into()));
     let zones = &history.document().zones;
     assert_eq!(
         (
@@ -78,7 +78,7 @@
 #[test]
 fn operators_that_race_lose_nothing() {
     let (_platform, client) = store();
-    let verdicts: Vec<Verdict> = std::thread::scope(|scope| {
+    let verdicts: Vec<ProposalOutcome> = std::thread::scope(|scope| {
         let race = |number: usize| {
             let client = client.clone();
             let zone = if number.is_multiple_of(2) {
@@ -103,11 +103,11 @@
     });
     let accepted = verdicts
         .iter()
-        .filter(|verdict| matches!(verdict, Verdict::Accepted(_)))
+        .filter(|verdict| matches!(verdict, ProposalOutcome::Accepted(_)))
         .count();
     let conflicts = verdicts
         .iter()
-        .filter(|verdict| matches!(verdict, Verdict::Conflict(_)))
+        .filter(|verdict| matches!(verdict, ProposalOutcome::Conflict(_)))
         .count();
     assert_eq!((accepted, conflicts), (2, 6), "{verdicts:?}");
     let mut history = History::default();
@@ -125,12 +125,15 @@
         ..PlatformFaults::default()
     });
     let change = proposal("a", 1, label("norte", "x"));
-    assert_eq!(store.propose(&mut history, &change), Verdict::Accepted(2));
+    assert_eq!(
+        store.propose(&mut history, &change),
+        ProposalOutcome::Accepted(2)
+    );
     platform.set_faults(PlatformFaults::default());
     // Asked again with the same id, it is the same change.
     assert_eq!(
         store.propose(&mut History::default(), &change),
-        Verdict::Accepted(2)
+        ProposalOutcome::Accepted(2)
     );
     store.poll(&mut history).unwrap();
     assert_eq!(history.revision(), 2);
@@ -142,7 +145,10 @@
     let change = proposal("a", 1, label("norte", "x"));
     platform.set_down(true);
     let verdict = ConfigStore::new(&client).propose(&mut History::default(), &change);
-    assert!(matches!(verdict, Verdict::Unavailable(_)), "{verdict:?}");
+    assert!(
+        matches!(verdict, ProposalOutcome::Unavailable(_)),
+        "{verdict:?}"
+    );
     platform.set_faults(PlatformFaults {
         writes: Fault::Slow(Duration::from_secs(3)),
         ..PlatformFaults::default()
@@ -150,12 +156,16 @@
     let hasty = HttpPlatform::new(platform.address(), Duration::from_millis(200));
     let verdict = ConfigStore::new(&hasty).propose(&mut History::default(), &change);
     assert!(
-        matches!(verdict, Verdict::Unknown(_) | Verdict::Accepted(2)),
+        matches!(
+            verdict,
+            ProposalOutcome::Unknown(_) | ProposalOutcome::Accepted(2)
+        ),
         "{verdict:?}"
     );
     platform.set_faults(PlatformFaults::default());
     eventually("it is settled", || {
-        ConfigStore::new(&client).propose(&mut History::default(), &change) == Verdict::Accepted(2)
+        ConfigStore::new(&client).propose(&mut History::default(), &change)
+            == ProposalOutcome::Accepted(2)
     })
     .unwrap();
 }
@@ -175,7 +185,7 @@
         );
         assert_eq!(
             store.propose(&mut history, &change),
-            Verdict::Accepted(base + 1)
+            ProposalOutcome::Accepted(base + 1)
         );
     }
     let mut fresh = History::default();
@@ -215,7 +225,7 @@
     puerto.set_hosts(LinkState::Cut);
     deployment.links["n1"].set_hosts(LinkState::Cut);
     let verdict = deployment.propose("n1", label("norte", "x")).unwrap();
-    assert_eq!(verdict, Verdict::Accepted(2));
+    assert_eq!(verdict, ProposalOutcome::Accepted(2));
     let mut caller = standin::TrialCaller::new("surcos", vec![deployment.addresses("p1").caller]);
     eventually("the zone serves what it can", || {
         matches!(caller.get("/p"), standin::Reply::Answered(_))
@@ -224,7 +234,10 @@
     assert_eq!(deployment.revision("p1"), 1);
     let refused = deployment.propose("p1", label("puerto", "y")).unwrap();
     assert!(
-        matches!(refused, Verdict::Unavailable(_) | Verdict::Unknown(_)),
+        matches!(
+            refused,
+            ProposalOutcome::Unavailable(_) | ProposalOutcome::Unknown(_)
+        ),
         "{refused:?}"
     );
     puerto.platform.set(LinkState::Open);
--- a/crates/standin/tests/matrix.rs
+++ b/crates/standin/tests/matrix.rs
@@ -12,7 +12,7 @@
     Deployment, DeploymentPlan, Fault, Health, HostPlan, LinkState, PlatformFaults, Reply,
     TrialCaller, eventually, run_twice,
 };
-use steering::document::{Edit, Kind, ObjectId, Verdict};
+use steering::document::{Edit, Kind, ObjectId, ProposalOutcome};
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -307,7 +307,7 @@
             } else {
                 label("a")
             };
-            if let Ok(Verdict::Accepted(revision)) = deployment.propose("n1", edit) {
+            if let Ok(ProposalOutcome::Accepted(revision)) = deployment.propose("n1", edit) {
                 told.accepted.push(revision);
             }
             let _racing = deployment.propose("p1", label("b"));
--- a/crates/steering/src/claim.rs
+++ b/crates/steering/src/claim.rs
@@ -28,7 +28,7 @@
 /// Final outcome of a non-idempotent request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ending {
+pub enum WorkOutcome {
     /// The request ran and was answered.
     Ran(Receipt),
     /// The request may have run. This outcome is final.
@@ -37,7 +37,7 @@
 
 /// How to handle a request that carries a ticket, idempotency key or identity.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Spend {
+pub enum TicketDecision {
     /// Run the request; no other request uses the ticket.
     Run,
     /// Refuse the request: an earlier one with the ticket is still running.
@@ -45,7 +45,7 @@
     /// Refuse the request: the ticket was used for a different one.
     Conflict,
     /// Answer with the outcome of the earlier request.
-    Replay(Ending),
+    Replay(WorkOutcome),
     /// Refuse the request: the maximum number of tickets is remembered.
     Full,
 }
@@ -72,14 +72,14 @@
 struct UsedTicket {
     fingerprint: Fingerprint,
     /// `None` while the request runs.
-    ending: Option<Ending>,
+    ending: Option<WorkOutcome>,
     forget_at: Instant,
 }
 
 impl UsedTicket {
     fn kept_bytes(&self) -> usize {
         match &self.ending {
-            Some(Ending::Ran(receipt)) => receipt.body.as_ref().map_or(0, Bytes::len),
+            Some(WorkOutcome::Ran(receipt)) => receipt.body.as_ref().map_or(0, Bytes::len),
             _ => 0,
         }
     }
@@ -120,31 +120,31 @@
 
     /// Returns how to handle another request with a ticket that was used already; `None`
     /// if the ticket is not remembered.
-    pub fn recall(&self, id: &str, fingerprint: &str) -> Option<Spend> {
+    pub fn status(&self, id: &str, fingerprint: &str) -> Option<TicketDecision> {
         let used = self.used.get(id)?;
         Some(match &used.ending {
-            _ if used.fingerprint != fingerprint => Spend::Conflict,
-            None => Spend::InProgress,
-            Some(ending) => Spend::Replay(ending.clone()),
+            _ if used.fingerprint != fingerprint => TicketDecision::Conflict,
+            None => TicketDecision::InProgress,
+            Some(ending) => TicketDecision::Replay(ending.clone()),
         })
     }
 
     /// Records the use of a ticket, or returns why its request must not run.
     ///
     /// The record stays until `forget_at`, or until the request has ended if that is later.
-    pub fn spend(
+    pub fn begin(
         &mut self,
         now: Instant,
         id: &str,
         fingerprint: &str,
         forget_at: Instant,
-    ) -> Spend {
+    ) -> TicketDecision {
         self.forget_expired(now);
-        if let Some(decision) = self.recall(id, fingerprint) {
+        if let Some(decision) = self.status(id, fingerprint) {
             return decision;
         }
         if self.used.len() >= self.limits.count {
-            return Spend::Full;
+            return TicketDecision::Full;
         }
         let used = UsedTicket {
             fingerprint: fingerprint.to_owned(),
@@ -153,12 +153,12 @@
         };
         self.used.insert(id.to_owned(), used);
         self.by_forget_time.insert((forget_at, id.to_owned()));
-        Spend::Run
+        TicketDecision::Run
     }
 
     /// Removes the record of a ticket whose request certainly did not run, so that the
     /// ticket can be used again.
-    pub fn give_back(&mut self, id: &str) {
+    pub fn release(&mut self, id: &str) {
         if let Some(used) = self.used.remove(id) {
             self.by_forget_time.remove(&(used.forget_at, id.to_owned()));
             self.kept_bytes -= used.kept_bytes();
@@ -166,9 +166,9 @@
     }
 
     /// Records the outcome of a request. Drops the body if it exceeds the byte bound.
-    pub fn end(&mut self, id: &str, mut ending: Ending) {
+    pub fn complete(&mut self, id: &str, mut ending: WorkOutcome) {
         let free_bytes = self.limits.bytes.saturating_sub(self.kept_bytes);
-        if let Ending::Ran(receipt) = &mut ending
+        if let WorkOutcome::Ran(receipt) = &mut ending
             && receipt
                 .body
                 .as_ref()
@@ -209,7 +209,7 @@
             .collect();
         for id in expired {
             if self.used[&id].ending.is_some() {
-                self.give_back(&id);
+                self.release(&id);
             }
         }
     }
@@ -227,7 +227,7 @@
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// `None` while the request may still run.
-    pub ending: Option<Ending>,
+    pub ending: Option<WorkOutcome>,
 }
 
 /// Result of writing a claim.
@@ -244,14 +244,18 @@
 /// Decides how to handle a request whose claim row exists already.
 ///
 /// If the holder is gone, its request has an unknown outcome.
-pub fn judge(row: &ClaimRow, fingerprint: &str, holder_is_gone: bool) -> Spend {
+pub fn decide_existing_claim(
+    row: &ClaimRow,
+    fingerprint: &str,
+    holder_is_gone: bool,
+) -> TicketDecision {
     if row.fingerprint != fingerprint {
-        return Spend::Conflict;
+        return TicketDecision::Conflict;
     }
     match &row.ending {
-        Some(ending) => Spend::Replay(ending.clone()),
-        None if holder_is_gone => Spend::Replay(Ending::Unknown),
-        None => Spend::InProgress,
+        Some(ending) => TicketDecision::Replay(ending.clone()),
+        None if holder_is_gone => TicketDecision::Replay(WorkOutcome::Unknown),
+        None => TicketDecision::InProgress,
     }
 }
 
--- a/crates/steering/src/document/identity.rs
+++ b/crates/steering/src/document/identity.rs
@@ -40,7 +40,7 @@
 /// Looks up a header field of a request by name.
 ///
 /// Returns `None` if the field is missing, empty or repeated.
-pub type HeaderValueOf<'a> = dyn Fn(&str) -> Option<Vec<u8>> + 'a;
+pub type HeaderLookup<'a> = dyn Fn(&str) -> Option<Vec<u8>> + 'a;
 
 impl Identity {
     /// Returns the id under which the request is claimed; `None` if a key field is missing.
@@ -48,7 +48,7 @@
         &self,
         service: &str,
         operation: &str,
-        value_of: &HeaderValueOf<'_>,
+        value_of: &HeaderLookup<'_>,
     ) -> Option<ClaimId> {
         let mut digest = Sha256::new();
         update_with_length(&mut digest, service.as_bytes());
@@ -61,7 +61,7 @@
 
     /// Returns the digest of the argument fields; `None` if there are none, so that the
     /// whole body must not differ.
-    pub fn arguments(&self, value_of: &HeaderValueOf<'_>) -> Option<Fingerprint> {
+    pub fn arguments(&self, value_of: &HeaderLookup<'_>) -> Option<Fingerprint> {
         if self.argument_headers.is_empty() {
             return None;
         }
--- a/crates/steering/src/document/mod.rs
+++ b/crates/steering/src/document/mod.rs
@@ -9,12 +9,12 @@
 
 pub use check::{Problem, Problems};
 pub use edit::{Change, Edit, EditError, Kind, ObjectId};
-pub use identity::{HeaderValueOf, Identity};
+pub use identity::{HeaderLookup, Identity};
 pub use objects::{
     Block, Link, Operation, Place, Region, Rule, Service, TicketMode, Traffic, Upstream, Zone,
 };
 
-pub use proposal::{Proposal, Verdict};
+pub use proposal::{Proposal, ProposalOutcome};
 
 use std::sync::Arc;
 
--- a/crates/steering/src/document/proposal.rs
+++ b/crates/steering/src/document/proposal.rs
@@ -19,7 +19,7 @@
 /// Outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum ProposalOutcome {
     /// The change is in force from this revision on.
     Accepted(Revision),
     /// The change is not in force: these objects were changed after the base revision.
--- a/crates/steering/src/error.rs
+++ b/crates/steering/src/error.rs
@@ -90,7 +90,7 @@
 
 /// How a host answers a caller with an error kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The error kind.
     pub kind: ErrorKind,
     /// HTTP status code of the answer.
@@ -109,8 +109,8 @@
     not_run: NotRun,
     retry_after_s: Option<u32>,
     text: &'static str,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         kind,
         status,
         not_run,
@@ -120,7 +120,7 @@
 }
 
 /// The answer of each kind, in the order of [`ErrorKind`].
-pub const ANSWERS: &[Answer] = {
+pub const ERROR_RESPONSES: &[ErrorResponse] = {
     use ErrorKind as K;
     use NotRun::{False, True, Unknown};
     &[
@@ -240,13 +240,13 @@
 
 impl ErrorKind {
     /// Returns the answer of this kind.
-    pub fn answer(self) -> &'static Answer {
-        &ANSWERS[self as usize]
+    pub fn response(self) -> &'static ErrorResponse {
+        &ERROR_RESPONSES[self as usize]
     }
 
     /// Finds a kind by its code, as in the body or header of an answer.
     pub fn find(code: &str) -> Option<ErrorKind> {
-        ANSWERS
+        ERROR_RESPONSES
             .iter()
             .map(|answer| answer.kind)
             .find(|kind| kind.to_string() == code)
--- a/crates/steering/src/history.rs
+++ b/crates/steering/src/history.rs
@@ -65,7 +65,7 @@
     },
     /// The digest or checksum does not match the content.
     #[display("revision {_0} does not match its digest")]
-    Damaged(#[error(not(source))] Revision),
+    DigestMismatch(#[error(not(source))] Revision),
     /// The document or change is invalid.
     #[display("revision {revision} is not valid: {reason}")]
     Invalid {
@@ -132,7 +132,7 @@
             });
         }
         if next_digest(&self.position.digest, &entry.change) != entry.digest {
-            return Err(HistoryError::Damaged(entry.revision));
+            return Err(HistoryError::DigestMismatch(entry.revision));
         }
         let document =
             entry
@@ -165,7 +165,7 @@
             digest: snapshot.digest.clone(),
         };
         if checksum(&position, &snapshot.document) != snapshot.checksum {
-            return Err(HistoryError::Damaged(snapshot.revision));
+            return Err(HistoryError::DigestMismatch(snapshot.revision));
         }
         snapshot
             .document
@@ -221,7 +221,11 @@
 
     /// Returns the objects of `change` that were edited after revision `base`; `None` if
     /// the entries since then are no longer kept.
-    pub fn overlap(&self, base: Revision, change: &Change) -> Option<BTreeSet<ObjectId>> {
+    pub fn conflicting_objects(
+        &self,
+        base: Revision,
+        change: &Change,
+    ) -> Option<BTreeSet<ObjectId>> {
         let edited: BTreeSet<ObjectId> = self
             .entries_after(base)?
             .iter()
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -16,7 +16,6 @@
 //! assert!(!selector.matches(&document.zones[0].labels));
 //! ```
 
-pub mod belief;
 pub mod blocks;
 pub mod choice;
 pub mod claim;
@@ -26,6 +25,7 @@
 pub mod ids;
 pub mod labels;
 pub mod limiter;
+pub mod load_estimate;
 pub mod lookup;
 pub mod membership;
 pub mod plan;
@@ -38,5 +38,5 @@
 pub mod view;
 
 pub use document::Document;
-pub use error::{Answer, ErrorKind, NotRun};
+pub use error::{ErrorKind, ErrorResponse, NotRun};
 pub use labels::{Labels, Selector};
--- a/crates/steering/src/belief.rs
+++ b/crates/steering/src/load_estimate.rs
@@ -52,12 +52,12 @@
     /// The measured load.
     pub load: PoolLoad,
     /// Time of the measurement by the local clock; never later than the report's arrival.
-    pub measured: Instant,
+    pub measured_at: Instant,
 }
 
 /// Estimated load of a service in a zone at the present time.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Believed {
+pub struct LoadEstimate {
     /// Estimated number of usable slots.
     pub capacity: f64,
     /// Estimated number of requests in flight or queued.
@@ -70,16 +70,16 @@
 
 /// Latest load report of each service in each zone.
 #[derive(Debug, Clone, Default)]
-pub struct Beliefs {
+pub struct LoadReports {
     reports: HashMap<(ZoneName, ServiceName), Report>,
 }
 
-impl Beliefs {
+impl LoadReports {
     /// Stores a report unless the stored one is as recent; returns whether it was stored.
     pub fn update(&mut self, zone: &str, service: &str, report: Report) -> bool {
         let key = (zone.to_owned(), service.to_owned());
         let stored = self.reports.get(&key);
-        if stored.is_some_and(|stored| stored.measured >= report.measured) {
+        if stored.is_some_and(|stored| stored.measured_at >= report.measured_at) {
             return false;
         }
         self.reports.insert(key, report);
@@ -95,28 +95,28 @@
     ///
     /// `slots` is the sum of the configured slots. `own_in_flight` is the number of
     /// requests that this host has in flight there, a lower bound of the estimate.
-    pub fn believe(
+    pub fn estimate(
         &self,
         now: Instant,
         zone: &str,
         service: &str,
         slots: u32,
         own_in_flight: u32,
-    ) -> Believed {
+    ) -> LoadEstimate {
         let floor = f64::from(slots) * FLOOR_SHARE;
         let own = f64::from(own_in_flight);
         let Some(report) = self.report(zone, service) else {
-            return Believed {
+            return LoadEstimate {
                 capacity: floor,
                 in_flight: own,
                 latency_ms: 0.0,
                 fresh: false,
             };
         };
-        let age = now.saturating_duration_since(report.measured);
+        let age = now.saturating_duration_since(report.measured_at);
         let load = &report.load;
         let capacity = f64::from(load.capacity);
-        Believed {
+        LoadEstimate {
             capacity: decay(capacity, floor.min(capacity), age),
             in_flight: f64::from(load.in_flight + load.queued).max(own),
             latency_ms: load.latency_ms,
--- a/crates/steering/src/membership.rs
+++ b/crates/steering/src/membership.rs
@@ -32,7 +32,7 @@
 }
 
 /// The message that a host sends to every other host of its zone, once per
-/// [`Timing::beat_every`].
+/// [`Timing::heartbeat_interval`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     /// The sender.
@@ -43,10 +43,10 @@
     pub sequence: u64,
     /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// Hosts whose heartbeats the sender has missed for [`Timing::doubt_after`].
-    pub doubts: BTreeSet<HostName>,
+    /// Hosts whose heartbeats the sender has missed for [`Timing::suspect_after`].
+    pub suspected_hosts: BTreeSet<HostName>,
     /// Hosts that others suspect and whose heartbeats the sender still receives.
-    pub vouches: BTreeSet<HostName>,
+    pub confirmed_hosts: BTreeSet<HostName>,
     /// Hosts from which the sender has borrowed part of their share of the zone's limits.
     pub lenders: BTreeSet<HostName>,
 }
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two heartbeats to the same host.
-    pub beat_every: Duration,
+    pub heartbeat_interval: Duration,
     /// Time without a heartbeat after which a host is suspected.
-    pub doubt_after: Duration,
-    /// Time after `doubt_after` that other observers have to confirm the host.
-    pub vouch_within: Duration,
+    pub suspect_after: Duration,
+    /// Time after `suspect_after` that other observers have to confirm the host.
+    pub confirm_within: Duration,
     /// Time without a heartbeat after which a host is down if there is no other observer.
-    pub alone_after: Duration,
+    pub sole_observer_timeout: Duration,
     /// Time without a heartbeat after which a host's entry is removed.
     pub forget_after: Duration,
 }
@@ -78,14 +78,14 @@
     /// Returns the times for a zone with this number of hosts, the local one included.
     pub fn of(hosts: usize) -> Self {
         let others = hosts.saturating_sub(1) as u32;
-        let beat_every =
+        let heartbeat_interval =
             (Duration::from_secs(1) / MAX_HEARTBEATS_PER_S * others).max(MIN_HEARTBEAT_INTERVAL);
         Timing {
-            beat_every,
-            doubt_after: beat_every.mul_f64(2.7),
-            vouch_within: beat_every.mul_f64(2.3),
-            alone_after: beat_every.mul_f64(6.7),
-            forget_after: FORGET_AFTER.max(beat_every * 20),
+            heartbeat_interval,
+            suspect_after: heartbeat_interval.mul_f64(2.7),
+            confirm_within: heartbeat_interval.mul_f64(2.3),
+            sole_observer_timeout: heartbeat_interval.mul_f64(6.7),
+            forget_after: FORGET_AFTER.max(heartbeat_interval * 20),
         }
     }
 }
@@ -103,8 +103,8 @@
     sequence: u64,
     leaving: bool,
     last_heartbeat: Instant,
-    doubts: BTreeSet<HostName>,
-    vouches: BTreeSet<HostName>,
+    suspected_hosts: BTreeSet<HostName>,
+    confirmed_hosts: BTreeSet<HostName>,
     lenders: BTreeSet<HostName>,
 }
 
@@ -171,9 +171,9 @@
     /// Removes hosts that were silent for [`Timing::forget_after`] and returns how long the
     /// local process was paused, if it was.
     ///
-    /// A gap between two calls of at least [`Timing::doubt_after`] counts as a pause. The
+    /// A gap between two calls of at least [`Timing::suspect_after`] counts as a pause. The
     /// local process then missed the heartbeats itself, so each other host gets a full
-    /// `doubt_after` before it is suspected.
+    /// `suspect_after` before it is suspected.
     pub fn tick(&mut self, now: Instant) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -182,7 +182,7 @@
         self.members.retain(|_, member| {
             now.saturating_duration_since(member.last_heartbeat) < forget_after
         });
-        if gap < self.timing.doubt_after {
+        if gap < self.timing.suspect_after {
             return None;
         }
         for member in self.members.values_mut() {
@@ -199,8 +199,8 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             leaving: self.leaving,
-            doubts: self.suspected(now),
-            vouches: self.confirmed(now),
+            suspected_hosts: self.suspected(now),
+            confirmed_hosts: self.confirmed(now),
             lenders,
         }
     }
@@ -209,7 +209,7 @@
     ///
     /// Returns false if the heartbeat is ignored: out of order, a duplicate, from a
     /// replaced incarnation, from the local host or from another zone.
-    pub fn heard(&mut self, now: Instant, heartbeat: Heartbeat) -> bool {
+    pub fn receive(&mut self, now: Instant, heartbeat: Heartbeat) -> bool {
         if heartbeat.host.name == self.me.name || heartbeat.host.zone != self.me.zone {
             return false;
         }
@@ -231,8 +231,8 @@
             sequence: heartbeat.sequence,
             leaving: heartbeat.leaving,
             last_heartbeat: now,
-            doubts: heartbeat.doubts,
-            vouches: heartbeat.vouches,
+            suspected_hosts: heartbeat.suspected_hosts,
+            confirmed_hosts: heartbeat.confirmed_hosts,
             lenders: heartbeat.lenders,
             entry: heartbeat.host,
         };
@@ -242,7 +242,7 @@
 
     /// Returns the hosts that are up, sorted by name: the local host and those that are
     /// shutting down are included.
-    pub fn present(&self, now: Instant) -> Vec<HostEntry> {
+    pub fn live_hosts(&self, now: Instant) -> Vec<HostEntry> {
         let others = self
             .members
             .values()
@@ -255,8 +255,8 @@
 
     /// Returns the hosts that are up and not shutting down; if all are shutting down,
     /// returns all that are up.
-    pub fn staying(&self, now: Instant) -> Vec<HostEntry> {
-        let present = self.present(now);
+    pub fn accepting_hosts(&self, now: Instant) -> Vec<HostEntry> {
+        let present = self.live_hosts(now);
         let staying: Vec<HostEntry> = present
             .iter()
             .filter(|entry| !self.is_leaving(&entry.name))
@@ -267,7 +267,7 @@
 
     /// Whether a host is not suspected and had borrowed nothing from `lender` as of its
     /// latest heartbeat.
-    pub fn holds_nothing_of(&self, now: Instant, host: &str, lender: &str) -> bool {
+    pub fn holds_no_share_of(&self, now: Instant, host: &str, lender: &str) -> bool {
         let member = self.members.get(host);
         member
             .is_some_and(|member| !self.is_silent(member, now) && !member.lenders.contains(lender))
@@ -310,8 +310,11 @@
     }
 
     fn confirmed(&self, now: Instant) -> BTreeSet<HostName> {
-        let doubts = self.members.values().flat_map(|member| &member.doubts);
-        doubts
+        let suspected_hosts = self
+            .members
+            .values()
+            .flat_map(|member| &member.suspected_hosts);
+        suspected_hosts
             .filter(|host| {
                 let member = self.members.get(*host);
                 member.is_some_and(|member| !self.is_silent(member, now))
@@ -321,12 +324,12 @@
     }
 
     fn is_silent(&self, member: &Member, now: Instant) -> bool {
-        now.saturating_duration_since(member.last_heartbeat) >= self.timing.doubt_after
+        now.saturating_duration_since(member.last_heartbeat) >= self.timing.suspect_after
     }
 
     fn is_present(&self, member: &Member, now: Instant) -> bool {
         let silence = now.saturating_duration_since(member.last_heartbeat);
-        if silence < self.timing.doubt_after {
+        if silence < self.timing.suspect_after {
             return true;
         }
         let name = &member.entry.name;
@@ -336,9 +339,9 @@
             .filter(|other| other.entry.name != *name && !self.is_silent(other, now))
             .peekable();
         if observers.peek().is_none() {
-            return silence < self.timing.alone_after;
+            return silence < self.timing.sole_observer_timeout;
         }
-        let in_confirm_window = silence < self.timing.doubt_after + self.timing.vouch_within;
-        in_confirm_window || observers.any(|other| other.vouches.contains(name))
+        let in_confirm_window = silence < self.timing.suspect_after + self.timing.confirm_within;
+        in_confirm_window || observers.any(|other| other.confirmed_hosts.contains(name))
     }
 }
--- a/crates/steering/src/retry.rs
+++ b/crates/steering/src/retry.rs
@@ -13,7 +13,7 @@
 
 /// Whether a failed attempt may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Attempt {
+pub enum FailedAttempt {
     /// The attempt certainly did not run.
     NotRun,
     /// The attempt may have run.
@@ -24,7 +24,7 @@
     /// Default ratio of retries to first attempts.
     pub const SHARE: f64 = 0.08;
     /// Default capacity of the bucket, in retries.
-    pub const MOST: f64 = 10.0;
+    pub const MAX_TOKENS: f64 = 10.0;
 
     /// Creates a budget that starts with one token, or `max_tokens` if that is less.
     pub fn new(ratio: f64, max_tokens: f64) -> Self {
@@ -36,15 +36,15 @@
     }
 
     /// Adds the tokens of a first attempt.
-    pub fn first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.max_tokens);
     }
 
     /// Takes a token for a retry; returns whether the retry is allowed.
     ///
     /// A request that is not `repeatable` is retried only if the last attempt did not run.
-    pub fn again(&mut self, last: Attempt, repeatable: bool) -> bool {
-        let allowed = repeatable || last == Attempt::NotRun;
+    pub fn try_spend_retry(&mut self, last: FailedAttempt, repeatable: bool) -> bool {
+        let allowed = repeatable || last == FailedAttempt::NotRun;
         if !allowed || self.tokens < 1.0 {
             return false;
         }
@@ -55,6 +55,6 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget::new(Self::SHARE, Self::MOST)
+        RetryBudget::new(Self::SHARE, Self::MAX_TOKENS)
     }
 }
--- a/crates/steering/src/ticket.rs
+++ b/crates/steering/src/ticket.rs
@@ -132,7 +132,7 @@
 }
 
 /// Decodes a ticket without verifying it, to find the host that can verify it.
-pub fn read(text: &str) -> Result<Ticket, TicketError> {
+pub fn decode_unverified(text: &str) -> Result<Ticket, TicketError> {
     let (body, _) = split(text)?;
     decode(&body)
 }
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -8,9 +8,9 @@
 
 use rand::{Rng, RngCore};
 
-use crate::belief::Beliefs;
 use crate::choice::PlaceView;
 use crate::ids::{Incarnation, Revision, ServiceName, ZoneName};
+use crate::load_estimate::LoadReports;
 use crate::membership::HostEntry;
 use crate::plan::{Plan, PoolKey, RuleMatch, ServicePlan, ZonePlan};
 use crate::rendezvous;
@@ -18,7 +18,7 @@
 /// Numbers of requests that this host has in flight, by service and zone.
 ///
 /// Traffic threads update the counters in place.
-pub type OwnCounts = HashMap<(ServiceName, ZoneName), Arc<AtomicU32>>;
+pub type InFlightCounts = HashMap<(ServiceName, ZoneName), Arc<AtomicU32>>;
 
 /// An immutable snapshot that the control thread replaces as a whole.
 #[derive(Debug, Clone)]
@@ -37,9 +37,9 @@
     /// left out.
     pub hosts: BTreeMap<ZoneName, Vec<HostEntry>>,
     /// Latest load report of each service in each zone.
-    pub beliefs: Beliefs,
+    pub load_reports: LoadReports,
     /// This host's requests in flight, with an entry for every service and zone of `plan`.
-    pub own: OwnCounts,
+    pub own_in_flight: InFlightCounts,
 }
 
 /// A zone that a request may be forwarded to.
@@ -61,14 +61,15 @@
             me,
             incarnation,
             leaving: false,
-            beliefs: Beliefs::default(),
-            own: OwnCounts::new(),
+            load_reports: LoadReports::default(),
+            own_in_flight: InFlightCounts::new(),
         }
     }
 
     /// Returns the counter of this host's requests in flight for a service in a zone.
-    pub fn own_count(&self, service: &str, zone: &str) -> Option<&Arc<AtomicU32>> {
-        self.own.get(&(service.to_owned(), zone.to_owned()))
+    pub fn own_in_flight_count(&self, service: &str, zone: &str) -> Option<&Arc<AtomicU32>> {
+        self.own_in_flight
+            .get(&(service.to_owned(), zone.to_owned()))
     }
 
     /// Returns the zones that a request may be forwarded to under its rule.
@@ -105,9 +106,11 @@
         share: Option<f64>,
     ) -> Target<'a> {
         let name = &service.service.name;
-        let own = self.own_count(name, &zone.zone);
+        let own = self.own_in_flight_count(name, &zone.zone);
         let own = own.map_or(0, |count| count.load(Ordering::Relaxed));
-        let estimate = self.beliefs.believe(now, &zone.zone, name, zone.slots, own);
+        let estimate = self
+            .load_reports
+            .estimate(now, &zone.zone, name, zone.slots, own);
         let place = PlaceView {
             zone: zone.zone.clone(),
             share,
--- a/crates/steering/tests/error.rs
+++ b/crates/steering/tests/error.rs
@@ -1,15 +1,15 @@
 //! The table of answers by error kind.
 
-use steering::error::{ANSWERS, ErrorKind, NotRun};
+use steering::error::{ERROR_RESPONSES, ErrorKind, NotRun};
 
 #[test]
 fn each_kind_has_exactly_one_answer() {
-    for (i, row) in ANSWERS.iter().enumerate() {
+    for (i, row) in ERROR_RESPONSES.iter().enumerate() {
         assert_eq!(row.kind as usize, i);
-        assert_eq!(row.kind.answer(), row);
+        assert_eq!(row.kind.response(), row);
         assert_eq!(ErrorKind::find(&row.kind.to_string()), Some(row.kind));
     }
-    assert_eq!(ErrorKind::Internal as usize + 1, ANSWERS.len());
+    assert_eq!(ErrorKind::Internal as usize + 1, ERROR_RESPONSES.len());
 }
 
 #[test]
@@ -20,6 +20,6 @@
         ErrorKind::AnswerNotKept,
         ErrorKind::InProgress,
     ] {
-        assert_ne!(kind.answer().not_run, NotRun::True, "{kind}");
+        assert_ne!(kind.response().not_run, NotRun::True, "{kind}");
     }
 }
--- a/crates/steering/tests/hostile.rs
+++ b/crates/steering/tests/hostile.rs
@@ -149,7 +149,7 @@
     /// Arbitrary text and bytes are decoded or refused without a panic.
     #[test]
     fn any_text_is_decoded_or_refused(text in ".{0,200}", bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = ticket::read(&text);
+        let _ = ticket::decode_unverified(&text);
         let _ = serde_json::from_slice::<Document>(&bytes);
         let _ = serde_json::from_slice::<Change>(&bytes);
         let _ = serde_json::from_slice::<Proposal>(&bytes);
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -45,7 +45,7 @@
             let heartbeat = self.hosts[from].heartbeat(self.now, BTreeSet::new());
             for to in 0..self.hosts.len() {
                 if from != to && link_is_up(from, to) {
-                    self.hosts[to].heard(self.now, heartbeat.clone());
+                    self.hosts[to].receive(self.now, heartbeat.clone());
                 }
             }
         }
@@ -58,7 +58,7 @@
     }
 
     fn names(&self, host: usize) -> Vec<String> {
-        let present = self.hosts[host].present(self.now);
+        let present = self.hosts[host].live_hosts(self.now);
         present.into_iter().map(|entry| entry.name).collect()
     }
 }
@@ -118,11 +118,11 @@
     zone.hosts[1].leave();
     zone.rounds(2, |_, _| true);
     assert_eq!(zone.names(0), ["a", "b"]);
-    let staying = zone.hosts[0].staying(zone.now);
+    let staying = zone.hosts[0].accepting_hosts(zone.now);
     assert_eq!(staying.len(), 1);
     zone.hosts[0].leave();
     assert_eq!(
-        zone.hosts[0].staying(zone.now).len(),
+        zone.hosts[0].accepting_hosts(zone.now).len(),
         2,
         "if all hosts are shutting down, all stay in use"
     );
@@ -136,18 +136,18 @@
     let mut new = Membership::new(entry("b", "z"), 2, now);
     let first = old.heartbeat(now, BTreeSet::new());
     let second = old.heartbeat(now, BTreeSet::new());
-    assert!(a.heard(now, second.clone()));
-    assert!(!a.heard(now, second), "duplicate");
-    assert!(!a.heard(now, first), "out of order");
-    assert!(a.heard(now, new.heartbeat(now, BTreeSet::new())));
+    assert!(a.receive(now, second.clone()));
+    assert!(!a.receive(now, second), "duplicate");
+    assert!(!a.receive(now, first), "out of order");
+    assert!(a.receive(now, new.heartbeat(now, BTreeSet::new())));
     assert!(
-        !a.heard(now, old.heartbeat(now, BTreeSet::new())),
+        !a.receive(now, old.heartbeat(now, BTreeSet::new())),
         "replaced"
     );
     assert!(a.is_replaced("b", 1) && !a.is_replaced("b", 2));
     let mut elsewhere = Membership::new(entry("x", "other"), 1, now);
     assert!(
-        !a.heard(now, elsewhere.heartbeat(now, BTreeSet::new())),
+        !a.receive(now, elsewhere.heartbeat(now, BTreeSet::new())),
         "another zone"
     );
 }
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Ending, Fingerprint};
+use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Fingerprint, WorkOutcome};
 use steering::ids::{ClaimId, HostName, Incarnation};
 
 use crate::table::{
@@ -33,7 +33,7 @@
     /// Digest of the request.
     pub fingerprint: Fingerprint,
     /// How it ended; none takes the row away: it certainly did not run.
-    pub ending: Option<Ending>,
+    pub ending: Option<WorkOutcome>,
 }
 
 /// Claims of one start of a host.
@@ -206,7 +206,7 @@
         mine && row.attempt == attempt && row.ending.is_none()
     }
 
-    fn row(&self, attempt: AttemptId, fingerprint: &str, ending: Option<Ending>) -> ClaimRow {
+    fn row(&self, attempt: AttemptId, fingerprint: &str, ending: Option<WorkOutcome>) -> ClaimRow {
         ClaimRow {
             host: self.host.clone(),
             incarnation: self.incarnation,
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -7,7 +7,7 @@
 
 use derive_more::{Display, Error, From};
 use serde::{Deserialize, Serialize};
-use steering::document::{EditError, Proposal, Verdict};
+use steering::document::{EditError, Proposal, ProposalOutcome};
 use steering::history::{Entry, History, HistoryError, Snapshot};
 use steering::ids::Revision;
 
@@ -58,19 +58,23 @@
     }
 
     /// Proposes a change. `history` is brought up to date on the way.
-    pub fn propose(&self, history: &mut History, proposal: &Proposal) -> Verdict {
+    pub fn propose(&self, history: &mut History, proposal: &Proposal) -> ProposalOutcome {
         let mut may_have_taken_effect = false;
         for _ in 0..TRIES {
             match self.try_propose(history, proposal, &mut may_have_taken_effect) {
                 Ok(Some(verdict)) => return verdict,
                 Ok(None) => {}
-                Err(error) if may_have_taken_effect => return Verdict::Unknown(error.to_string()),
-                Err(error) => return Verdict::Unavailable(error.to_string()),
+                Err(error) if may_have_taken_effect => {
+                    return ProposalOutcome::Unknown(error.to_string());
+                }
+                Err(error) => return ProposalOutcome::Unavailable(error.to_string()),
             }
         }
         match may_have_taken_effect {
-            true => Verdict::Unknown(format!("no answer in {TRIES} tries")),
-            false => Verdict::Unavailable(format!("other changes came first {TRIES} times")),
+            true => ProposalOutcome::Unknown(format!("no answer in {TRIES} tries")),
+            false => {
+                ProposalOutcome::Unavailable(format!("other changes came first {TRIES} times"))
+            }
         }
     }
 
@@ -88,10 +92,10 @@
         history: &mut History,
         proposal: &Proposal,
         may_have_taken_effect: &mut bool,
-    ) -> Result<Option<Verdict>, PollError> {
+    ) -> Result<Option<ProposalOutcome>, PollError> {
         let (head, version) = self.catch_up(history)?;
         if let Some(revision) = self.find(&proposal.change.id)? {
-            return Ok(Some(Verdict::Accepted(revision)));
+            return Ok(Some(ProposalOutcome::Accepted(revision)));
         }
         if let Some(verdict) = judge(history, proposal) {
             // A lost try was made on an older head, which is gone: this is final.
@@ -102,7 +106,7 @@
             Ok(Commit::Done) => {
                 history.accept(&entry)?;
                 self.keep_snapshot(history);
-                Ok(Some(Verdict::Accepted(entry.revision)))
+                Ok(Some(ProposalOutcome::Accepted(entry.revision)))
             }
             Ok(Commit::Conflict(_)) => Ok(None),
             Err(StoreError::AnswerLost(_)) => {
@@ -150,7 +154,7 @@
         let bytes = self.platform.get(&name)?;
         let bytes = bytes.ok_or_else(|| StoreError::Nonsense(format!("no object `{name}`")))?;
         let snapshot: Snapshot =
-            serde_json::from_slice(&bytes).map_err(|_| HistoryError::Damaged(revision))?;
+            serde_json::from_slice(&bytes).map_err(|_| HistoryError::DigestMismatch(revision))?;
         history.install(&snapshot)?;
         Ok(())
     }
@@ -203,16 +207,16 @@
     }
 }
 
-fn judge(history: &History, proposal: &Proposal) -> Option<Verdict> {
-    match history.overlap(proposal.base, &proposal.change) {
+fn judge(history: &History, proposal: &Proposal) -> Option<ProposalOutcome> {
+    match history.conflicting_objects(proposal.base, &proposal.change) {
         Some(objects) if objects.is_empty() => {}
-        Some(objects) => return Some(Verdict::Conflict(objects)),
-        None => return Some(Verdict::Conflict(proposal.change.objects())),
+        Some(objects) => return Some(ProposalOutcome::Conflict(objects)),
+        None => return Some(ProposalOutcome::Conflict(proposal.change.objects())),
     }
     match proposal.change.apply(history.document()) {
         Ok(_) => None,
         Err(error @ (EditError::Missing(_) | EditError::NoLabels(_) | EditError::Problems(_))) => {
-            Some(Verdict::Refused(error.to_string()))
+            Some(ProposalOutcome::Refused(error.to_string()))
         }
     }
 }
--- a/crates/store/tests/stateful.rs
+++ b/crates/store/tests/stateful.rs
@@ -15,9 +15,10 @@
 use rand::rngs::StdRng;
 use steering::Document;
 use steering::claim::{
-    AttemptId, ClaimOutcome, Ending, Receipt, Spend, SpentLimits, SpentTickets, judge,
+    AttemptId, ClaimOutcome, Receipt, SpentLimits, SpentTickets, TicketDecision, WorkOutcome,
+    decide_existing_claim,
 };
-use steering::document::{Change, Edit, Proposal, Region, TicketMode, Verdict};
+use steering::document::{Change, Edit, Proposal, ProposalOutcome, Region, TicketMode};
 use steering::history::{History, Snapshot};
 use steering::ticket::Issuer;
 use store::{ClaimRequest, ClaimStore, ConfigStore, ReceiptWrite};
@@ -169,8 +170,8 @@
     format!("op-{operation}")
 }
 
-fn receipt() -> Option<Ending> {
-    Some(Ending::Ran(Receipt {
+fn receipt() -> Option<WorkOutcome> {
+    Some(WorkOutcome::Ran(Receipt {
         status: 200,
         content_type: None,
         body: None,
@@ -189,8 +190,8 @@
         let (now, lapse) = (self.now, self.now + Duration::from_secs(3_600));
         let spend = self.hosts[host]
             .spent
-            .spend(now, &id(operation), "f", lapse);
-        if spend != Spend::Run {
+            .begin(now, &id(operation), "f", lapse);
+        if spend != TicketDecision::Run {
             return;
         }
         self.attempts += 1;
@@ -210,21 +211,21 @@
                 this.held.insert(operation, attempt);
             }
             ClaimOutcome::Failed(_) => {
-                this.spent.give_back(&id(operation));
+                this.spent.release(&id(operation));
                 self.finish(host, operation, attempt, None);
             }
             ClaimOutcome::Taken(row) => {
                 let mine = row.host == this.name && row.incarnation == this.incarnation;
                 if mine && row.ending.is_none() {
-                    this.spent.give_back(&id(operation));
+                    this.spent.release(&id(operation));
                     self.finish(host, operation, row.attempt, None);
                     return;
                 }
                 // A start of this host that is gone, or another host that may be there.
                 let gone = row.host == this.name;
-                match judge(&row, "f", gone) {
-                    Spend::Replay(ending) => this.spent.end(&id(operation), ending),
-                    _ => this.spent.give_back(&id(operation)),
+                match decide_existing_claim(&row, "f", gone) {
+                    TicketDecision::Replay(ending) => this.spent.complete(&id(operation), ending),
+                    _ => this.spent.release(&id(operation)),
                 }
             }
         }
@@ -236,7 +237,7 @@
         host: usize,
         operation: usize,
         attempt: AttemptId,
-        ending: Option<Ending>,
+        ending: Option<WorkOutcome>,
     ) {
         self.hosts[host].unwritten.push(ReceiptWrite {
             id: id(operation),
@@ -277,11 +278,11 @@
         let lapse = self.now + Duration::from_secs(3_600);
         let spend = self.hosts[host]
             .spent
-            .spend(self.now, &ticket.id, "f", lapse);
-        if spend == Spend::Run {
+            .begin(self.now, &ticket.id, "f", lapse);
+        if spend == TicketDecision::Run {
             self.run(format!("ticket-{home}-{operation}"));
             if let Some(ending) = receipt() {
-                self.hosts[host].spent.end(&ticket.id, ending);
+                self.hosts[host].spent.complete(&ticket.id, ending);
             }
         }
     }
@@ -303,7 +304,7 @@
         let base = this.history.revision();
         let proposal = Proposal { change, base };
         let verdict = ConfigStore::new(&self.platform).propose(&mut this.history, &proposal);
-        if let Verdict::Accepted(revision) = verdict {
+        if let ProposalOutcome::Accepted(revision) = verdict {
             let before = self.accepted.insert(revision, change_id);
             assert_eq!(before, None, "revision {revision} was accepted twice");
         }
@@ -398,14 +399,16 @@
                 if let Some(attempt) = world.hosts[host].held.remove(&operation) {
                     world.run(id(operation));
                     if let Some(ending) = receipt() {
-                        world.hosts[host].spent.end(&id(operation), ending.clone());
+                        world.hosts[host]
+                            .spent
+                            .complete(&id(operation), ending.clone());
                         world.finish(host, operation, attempt, Some(ending));
                     }
                 }
             }
             Step::Shed { host, operation } => {
                 if let Some(attempt) = world.hosts[host].held.remove(&operation) {
-                    world.hosts[host].spent.give_back(&id(operation));
+                    world.hosts[host].spent.release(&id(operation));
                     world.finish(host, operation, attempt, None);
                 }
             }
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -6,7 +6,7 @@
 
 use operator::{InForce, OperatorClient};
 use rand::Rng;
-use steering::document::{Change, Edit, Kind, ObjectId, Proposal, Verdict};
+use steering::document::{Change, Edit, Kind, ObjectId, Proposal, ProposalOutcome};
 use steering::labels::STATE;
 
 use super::check;
@@ -95,7 +95,7 @@
     };
     let verdict = match client.propose(&proposal) {
         Ok(verdict) => verdict,
-        Err(error) => Verdict::Unknown(error.to_string()),
+        Err(error) => ProposalOutcome::Unknown(error.to_string()),
     };
     Outcome::of_verdict(&verdict, &id, output)
 }
--- a/src/commands/outcome.rs
+++ b/src/commands/outcome.rs
@@ -1,7 +1,7 @@
 //! What a command prints, and its exit code.
 
 use operator::ClientError;
-use steering::document::Verdict;
+use steering::document::ProposalOutcome;
 
 use crate::cli::Output;
 
@@ -52,10 +52,12 @@
     }
 
     /// What became of a change.
-    pub fn of_verdict(verdict: &Verdict, id: &str, output: Output) -> Self {
+    pub fn of_verdict(verdict: &ProposalOutcome, id: &str, output: Output) -> Self {
         let (code, text) = match verdict {
-            Verdict::Accepted(revision) => (DONE, format!("in force from revision {revision} on")),
-            Verdict::Conflict(objects) => {
+            ProposalOutcome::Accepted(revision) => {
+                (DONE, format!("in force from revision {revision} on"))
+            }
+            ProposalOutcome::Conflict(objects) => {
                 let names: Vec<String> = objects.iter().map(ToString::to_string).collect();
                 (
                     CONFLICT,
@@ -65,12 +67,12 @@
                     ),
                 )
             }
-            Verdict::Refused(reason) => (BAD_INPUT, reason.clone()),
-            Verdict::Unknown(reason) => (
+            ProposalOutcome::Refused(reason) => (BAD_INPUT, reason.clone()),
+            ProposalOutcome::Unknown(reason) => (
                 UNKNOWN,
                 format!("outcome unknown: {reason}\nrun it again with --change-id {id}"),
             ),
-            Verdict::Unavailable(reason) => (UNAVAILABLE, format!("not changed: {reason}")),
+            ProposalOutcome::Unavailable(reason) => (UNAVAILABLE, format!("not changed: {reason}")),
         };
         match (output, code) {
             (Output::Json, _) => Outcome {
--- a/src/host/claims.rs
+++ b/src/host/claims.rs
@@ -4,7 +4,7 @@
 
 use futures::FutureExt;
 use futures::future::BoxFuture;
-use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Ending, Fingerprint};
+use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Fingerprint, WorkOutcome};
 use steering::ids::{ClaimId, HostName, Incarnation};
 use store::{ClaimRequest, ClaimStore, ReceiptWrite, Worker, WorkerError};
 use tokio::sync::{mpsc, oneshot};
@@ -77,7 +77,7 @@
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
-        ending: Option<Ending>,
+        ending: Option<WorkOutcome>,
     ) {
         let receipt = ReceiptWrite {
             id,
--- a/src/host/configuration.rs
+++ b/src/host/configuration.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use steering::history::{Entry, History};
 use steering::rendezvous;
 use store::ConfigStore;
@@ -68,7 +68,11 @@
         );
     }
 
-    pub async fn propose(self: Rc<Self>, proposal: Proposal, answer: oneshot::Sender<Verdict>) {
+    pub async fn propose(
+        self: Rc<Self>,
+        proposal: Proposal,
+        answer: oneshot::Sender<ProposalOutcome>,
+    ) {
         let mut history = self.state.borrow().history.clone();
         let id = proposal.change.id.clone();
         let proposed = self.worker.run(move |platform| {
@@ -80,7 +84,7 @@
                 self.adopt(history);
                 verdict
             }
-            Err(error) => Verdict::Unavailable(error.to_string()),
+            Err(error) => ProposalOutcome::Unavailable(error.to_string()),
         };
         tracing::info!(event = "proposal", change = id, verdict = ?verdict);
         // The operator may have given up; asking again with the same id tells.
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -259,7 +259,7 @@
 
     /// Whether this host is among the first `count` of its zone for a task.
     pub fn is_among(&self, task: &str, count: usize) -> bool {
-        let staying = self.state.borrow().membership.staying(clock::now());
+        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
         let key = format!("{task}/{}", self.me.entry.zone);
         let ranked = rendezvous::rank(&key, staying.iter().map(|host| host.name.as_str()));
         ranked
@@ -292,7 +292,7 @@
     /// Peer addresses of the zone's other hosts, as far as they are known.
     pub fn zone_peers(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let present = state.membership.present(clock::now());
+        let present = state.membership.live_hosts(clock::now());
         let listed = state.listed.iter().map(|host| &host.entry);
         let mut peers: Vec<SocketAddr> = present
             .iter()
--- a/src/host/handler.rs
+++ b/src/host/handler.rs
@@ -22,7 +22,7 @@
             .state
             .borrow_mut()
             .membership
-            .heard(clock::now(), beat.heartbeat);
+            .receive(clock::now(), beat.heartbeat);
         let mine = self.0.state.borrow().history.revision();
         if !taken {
             return mine;
@@ -82,7 +82,7 @@
 impl Handler {
     fn is_in_zone(&self, host: &str) -> bool {
         let state = self.0.state.borrow();
-        let present = state.membership.present(clock::now());
+        let present = state.membership.live_hosts(clock::now());
         present.iter().any(|known| known.name == host)
     }
 
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -75,7 +75,7 @@
     }
 
     fn zone_others(&self) -> Vec<HostEntry> {
-        let present = self.state.borrow().membership.present(clock::now());
+        let present = self.state.borrow().membership.live_hosts(clock::now());
         let others = present
             .into_iter()
             .filter(|host| host.name != self.me.entry.name);
@@ -97,7 +97,7 @@
 
     async fn keep_part(&self) {
         let (name, incarnation) = (self.me.entry.name.clone(), self.incarnation);
-        let staying = self.state.borrow().membership.staying(clock::now());
+        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
         let leaving = !staying.iter().any(|host| host.name == name);
         let fair = match leaving {
             true => 0,
@@ -185,7 +185,7 @@
             let others = here.iter().filter(|(host, _)| **host != self.me.entry.name);
             let mut others = others.map(|(host, _)| host);
             !mine.contains(lender)
-                && others.all(|host| state.membership.holds_nothing_of(now, host, lender))
+                && others.all(|host| state.membership.holds_no_share_of(now, host, lender))
         };
         gone.into_iter()
             .filter(|(host, _)| nobody_holds(host))
--- a/src/host/operator.rs
+++ b/src/host/operator.rs
@@ -1,7 +1,7 @@
 //! Between the operators' endpoint and the control thread.
 
 use ::operator::{InForce, OperatorHandler, Status};
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use tokio::sync::{mpsc, oneshot};
 
 use super::state::Command;
@@ -38,9 +38,9 @@
         metrics_text::render()
     }
 
-    fn propose(&self, proposal: Proposal) -> Verdict {
+    fn propose(&self, proposal: Proposal) -> ProposalOutcome {
         let ended = "the host ended before it was told";
         self.ask(|answer| Command::Propose(Box::new(proposal), answer))
-            .unwrap_or_else(|| Verdict::Unknown(ended.to_owned()))
+            .unwrap_or_else(|| ProposalOutcome::Unknown(ended.to_owned()))
     }
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use ::operator::{InForce, PoolStatus, Status, UpstreamStatus, ZoneLoad};
-use steering::belief::ServiceLoad;
+use steering::load_estimate::ServiceLoad;
 
 use super::control::Control;
 use super::state::Dump;
@@ -31,7 +31,7 @@
                     service: service.clone(),
                     load: report.load,
                 };
-                Some((silent_ms(report.measured), load))
+                Some((silent_ms(report.measured_at), load))
             });
             let (ages, services): (Vec<u64>, Vec<ServiceLoad>) = reports.unzip();
             ZoneLoad {
--- a/src/host/spread.rs
+++ b/src/host/spread.rs
@@ -8,8 +8,8 @@
 use peer::{Beat, Exchange, ExchangeReply};
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
-use steering::belief::ZoneSummary;
 use steering::ids::ZoneName;
+use steering::load_estimate::ZoneSummary;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -31,7 +31,7 @@
     pub async fn heartbeats(self: Rc<Self>) {
         loop {
             self.beat_now();
-            let every = self.state.borrow().membership.timing().beat_every;
+            let every = self.state.borrow().membership.timing().heartbeat_interval;
             sleep(every).await;
         }
     }
--- a/src/host/state.rs
+++ b/src/host/state.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
-use steering::belief::{Beliefs, ServiceLoad, ZoneSummary};
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use steering::history::History;
 use steering::ids::{HostName, Incarnation, Revision, ZoneName};
 use steering::limiter::Roster;
+use steering::load_estimate::{LoadReports, ServiceLoad, ZoneSummary};
 use steering::membership::{HostEntry, Membership};
 use steering::plan::Plan;
-use steering::view::OwnCounts;
+use steering::view::InFlightCounts;
 use store::ListedHost;
 use tokio::sync::oneshot;
 
@@ -27,7 +27,7 @@
     /// The configuration in force.
     Document(oneshot::Sender<InForce>),
     /// Propose a change.
-    Propose(Box<Proposal>, oneshot::Sender<Verdict>),
+    Propose(Box<Proposal>, oneshot::Sender<ProposalOutcome>),
     /// Say that the host is leaving.
     Leave,
     /// End the thread.
@@ -98,7 +98,7 @@
     /// Hosts of the zone.
     pub membership: Membership,
     /// Load of services in zones.
-    pub beliefs: Beliefs,
+    pub beliefs: LoadReports,
     /// Other zones.
     pub summaries: HashMap<ZoneName, HeldSummary>,
     /// Load that hosts of the zone told.
@@ -110,7 +110,7 @@
     /// How the zone's limits are split.
     pub roster: Roster,
     /// This host's own counts.
-    pub own: OwnCounts,
+    pub own: InFlightCounts,
     /// When the platform last answered.
     pub store_answered: Option<Instant>,
     /// Whether the platform's list was read in this start.
--- a/src/host/views.rs
+++ b/src/host/views.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use steering::belief::{Report, SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::ids::HostName;
+use steering::load_estimate::{Report, SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::membership::HostEntry;
 use steering::pool::{PoolLimits, PoolLoad};
 use steering::view::View;
@@ -52,7 +52,7 @@
         while let Ok(note) = self.notes.try_recv() {
             let report = Report {
                 load: note.load,
-                measured: note.heard,
+                measured_at: note.heard,
             };
             state.beliefs.update(&note.zone, &note.service, report);
         }
@@ -74,8 +74,8 @@
                 .leaving
                 .load(std::sync::atomic::Ordering::Acquire),
             hosts: self.known_hosts(state, now),
-            beliefs: state.beliefs.clone(),
-            own: state.own.clone(),
+            load_reports: state.beliefs.clone(),
+            own_in_flight: state.own.clone(),
         };
         self.hold_pools(&view, replan);
         if replan {
@@ -101,7 +101,7 @@
     pub fn believe_own_zone(&self, state: &mut State, now: Instant) {
         let mut sums: BTreeMap<String, PoolLoad> = BTreeMap::new();
         let heard = state.heard_loads.values().filter(|heard| {
-            now.saturating_duration_since(heard.heard) < steering::belief::STALE_AFTER
+            now.saturating_duration_since(heard.heard) < steering::load_estimate::STALE_AFTER
         });
         let heard = heard.flat_map(|heard| heard.loads.clone());
         for load in heard.chain(self.own_loads()) {
@@ -110,7 +110,7 @@
         for (service, load) in sums {
             let report = Report {
                 load,
-                measured: now,
+                measured_at: now,
             };
             state.beliefs.update(&self.me.entry.zone, &service, report);
         }
@@ -144,7 +144,10 @@
                 hosts.insert(zone.clone(), held.hosts.clone());
             }
         }
-        hosts.insert(self.me.entry.zone.clone(), state.membership.staying(now));
+        hosts.insert(
+            self.me.entry.zone.clone(),
+            state.membership.accepting_hosts(now),
+        );
         hosts
     }
 
@@ -191,7 +194,7 @@
             loads: loads.collect(),
             hosts: state
                 .membership
-                .staying(now)
+                .accepting_hosts(now)
                 .into_iter()
                 .take(SUMMARY_HOSTS)
                 .collect(),
@@ -216,7 +219,7 @@
         for load in summary.loads {
             let report = Report {
                 load: load.load,
-                measured,
+                measured_at: measured,
             };
             state.beliefs.update(&summary.zone, &load.service, report);
         }
