--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -1,4 +1,4 @@
-//! Customers' allowances, as the thread that serves callers asks for them.
+//! Customers' allowances, shared between the threads of a host.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,35 +8,35 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Longest wait for a token: two round trips between far regions. A caller that waits longer
-/// has lost a third of its goal, and is told to come back.
+/// Longest wait for a token: two round trips between distant regions. A longer wait would use up a
+/// third of the latency goal, so the caller is told to retry instead.
 const WAIT_MOST: Duration = Duration::from_millis(250);
-/// Time after which a caller may come back to a host that hears of no pool.
+/// Time after which a caller may retry at a host that can't reach a pool.
 const UNHEARD_WAIT: Duration = Duration::from_millis(800);
 
-/// A host's tokens; the thread of control asks other hosts for more.
+/// Tokens that this host holds. The control thread requests more from other hosts.
 pub(crate) struct Allowances {
     leases: Mutex<TokenLeases>,
     groups: Vec<Signals>,
 }
 
-/// Of one group of customers.
+/// Notifications for one group of customers.
 #[derive(Default)]
 struct Signals {
-    /// Told when requests wait for tokens.
+    /// Notified when requests wait for tokens.
     waited_for: Notify,
-    /// Told when tokens are wanted of the pool.
+    /// Notified when tokens should be requested from the pool.
     wanted: Notify,
-    /// Told when an answer has come.
+    /// Notified when an answer has arrived.
     answered: Notify,
 }
 
-/// Why a request may not be made now.
+/// Why a request may not run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Beyond {
-    /// The allowance is used up for so long.
+    /// The allowance is used up for this time.
     Used(Duration),
-    /// Nobody has told in time whether it is.
+    /// No host has answered in time whether the allowance is used up; retry after this time.
     Unheard(Duration),
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Allowances {
-    /// No tokens yet.
+    /// Starts without tokens.
     pub fn new() -> Self {
         Allowances {
             leases: Mutex::new(TokenLeases::new(clock::now())),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What the host holds.
+    /// Tokens that this host holds.
     pub fn leases(&self) -> MutexGuard<'_, TokenLeases> {
         self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -78,26 +78,26 @@
         self.signals(group).waited_for.notified().await;
     }
 
-    /// Waits until tokens of a group are wanted of its pool.
+    /// Waits until tokens of a group should be requested from the pool.
     pub async fn wanted(&self, group: TokenGroup) {
         self.signals(group).wanted.notified().await;
     }
 
-    /// Tells that tokens of a group are wanted of its pool.
+    /// Signals that tokens of a group should be requested from the pool.
     pub fn want(&self, group: TokenGroup) {
         self.signals(group).wanted.notify_one();
     }
 
-    /// Tells requests that wait that an answer has come.
+    /// Signals to waiting requests that an answer has arrived.
     pub fn answered(&self, group: TokenGroup) {
         self.signals(group).answered.notify_waiters();
     }
 
-    /// Takes a token of a request's customer, which has an allowance.
+    /// Takes a token of the request's customer, which has an allowance.
     ///
     /// # Errors
     ///
-    /// There is none; the request must not run.
+    /// No token is available; the request must not run.
     pub async fn admit(&self, customer: &Customer) -> Result<(), Beyond> {
         let name: &CustomerName = &customer.name;
         let signals = self.signals(group_of(name));
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Gives back the token of a request that has not run.
+    /// Returns the token of a request that has not run.
     pub fn give_back(&self, customer: &Customer) {
         self.leases().give_back(clock::now(), &customer.name);
     }
--- a/crates/gateway/src/control/beliefs.rs
+++ b/crates/gateway/src/control/beliefs.rs
@@ -1,4 +1,4 @@
-//! Everything that the host believes, and the view that follows from it.
+//! The state that the control thread knows, and the view derived from it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,14 +15,14 @@
 use super::origin::Origin;
 use crate::host::Common;
 
-/// Reports that can't be read of which the log tells; more are not kept in mind.
+/// Most unreadable reports that are remembered, so that each is logged once.
 const REFUSED_MOST: usize = 1_000;
 
-/// Difference between what hosts tell of one return of the store: their messages take up to
-/// a second.
+/// Largest difference between hosts' accounts of one recovery of the store, since messages between
+/// hosts take up to a second.
 const SAME_RETURN: Duration = Duration::from_secs(1);
 
-/// The control thread's beliefs.
+/// The control thread's state of routes, upstreams and hosts.
 pub(super) struct Beliefs {
     regions: BTreeMap<ZoneName, RegionName>,
     document: Arc<RouteDocument>,
@@ -33,16 +33,16 @@
     store: StoreAnswers,
     conditions: Conditions,
     pub roll: Roll,
-    /// Upstreams by service, until anything is learned that changes them.
+    /// Upstreams by service; none while they have to be computed again.
     pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
-    /// Whether upstreams' reports had been read at the last view.
+    /// Whether the upstreams' reports had been read when the last view was made.
     upstreams_known: bool,
-    /// Whether other hosts have been asked what work they refuse.
+    /// Whether other hosts have been asked which requests they refuse because of crashes.
     pub works_known: bool,
-    /// Hosts named in the last view, to see when time alone has changed them.
+    /// Hosts in the last view; compared to detect changes caused by time alone.
     named: BTreeMap<RegionName, Vec<SocketAddr>>,
     near_hosts: Option<Vec<HostName>>,
-    /// Reports that could not be read, and were logged.
+    /// Keys of unreadable reports that were logged.
     refused_reports: BTreeSet<String>,
     sharers: Option<usize>,
     me: HostName,
@@ -73,25 +73,25 @@
         }
     }
 
-    /// Notes that the store gave this host no answer.
+    /// Records that a call of this host to the store failed.
     pub fn store_failed(&mut self) {
         self.store.failed();
     }
 
-    /// Notes an answer of the store to this host.
+    /// Records that the store answered this host.
     pub fn store_answered(&mut self, now: Instant, usual_silence: Duration) {
         self.store.answered(now, usual_silence);
         let me = self.me.clone();
         self.note_return(&me);
     }
 
-    /// Takes what another host tells of the store's answers.
+    /// Applies another host's account of the store's availability.
     pub fn store_told(&mut self, now: Instant, from: &str, told: Answering, usual: Duration) {
         self.store.told(now, told, usual);
         self.note_return(from);
     }
 
-    /// What this host tells others of the store's answers.
+    /// This host's account of the store's availability, as sent to other hosts.
     pub fn store_answers(&self, now: Instant) -> Answering {
         self.store.tell(now)
     }
@@ -109,17 +109,18 @@
         self.catalog.store_returned(back);
     }
 
-    /// Whether reports that vanished are still listed, though they are not waited for any more.
+    /// Whether reports that disappeared are still listed although the time to wait for them is
+    /// over.
     pub fn waits_no_more(&self, now: Instant) -> bool {
         self.catalog.waits_until(now).is_none() && self.catalog.has_vanished()
     }
 
-    /// When time alone changes next what is believed; none where it is not known to.
+    /// When the state changes next without an update; none if no such time is known.
     pub fn changes_at(&self, now: Instant) -> Option<Instant> {
         self.catalog.waits_until(now)
     }
 
-    /// Takes a part of a feed, or all of it; what is worth telling others, in order.
+    /// Applies changes of a feed. Returns the records to pass on to other hosts, in order.
     pub fn take(
         &mut self,
         now: Instant,
@@ -138,7 +139,7 @@
         news
     }
 
-    /// All that was taken from a feed and still holds.
+    /// All current records of a feed.
     pub fn state(&self, now: Instant, feed: Feed) -> Vec<Record> {
         match feed {
             Feed::Routes => {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Digest of all that was taken from a feed.
+    /// Digest of all current records of a feed.
     pub fn digest(&self, feed: Feed) -> FeedDigest {
         match feed {
             Feed::Routes => self.evacuations.digest() ^ self.document.version,
@@ -195,7 +196,8 @@
         news
     }
 
-    /// Takes a document that is newer than the one in force; what others are told then.
+    /// Applies a document if it is newer than the one in force. Returns the change to pass on to
+    /// other hosts.
     fn take_document(&mut self, document: RouteDocument) -> Option<Record> {
         let (version, before) = (document.version, self.document.version);
         if version <= before {
@@ -213,7 +215,7 @@
     fn take_upstreams(&mut self, now: Instant, changes: &Changes, origin: Origin) -> Vec<Record> {
         for record in &changes.records {
             if let Record::Unusable { key, reason } = record {
-                // Its writer may write it again with each of its heartbeats.
+                // The upstream may write an unreadable report again with each heartbeat.
                 if self.refused_reports.len() < REFUSED_MOST
                     && self.refused_reports.insert(key.clone())
                 {
@@ -237,7 +239,7 @@
         self.roll.take(now, changes)
     }
 
-    /// Drops what has run out; true where the next view will differ.
+    /// Removes expired entries. Returns whether the next view differs from the last one.
     pub fn expire(&mut self, now: Instant) -> bool {
         let dropped = self.catalog.expire(now);
         if dropped {
@@ -249,7 +251,7 @@
         dropped || counted || read || self.named(now) != self.named
     }
 
-    /// The view that follows.
+    /// Builds a view of the current state.
     pub fn view(&mut self, now: Instant) -> RouteView {
         let named = self.named(now);
         if named != self.named {
@@ -283,8 +285,8 @@
         }
     }
 
-    /// Hosts that share bounds, and the names of those in the own region; none where this host
-    /// has no part of any.
+    /// The number of hosts that share limits, and the names of those in the own region; none while
+    /// this host has no share of any limit.
     fn count(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
         let others = self.roll.sharers(now);
         let Some(others) = others.filter(|_| self.roll.has_part(now)) else {
@@ -306,7 +308,7 @@
         self.document.version
     }
 
-    /// Other hosts' addresses for callers, by region.
+    /// Caller addresses of the other hosts that callers may be sent to, by region.
     fn named(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
         let mut named: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
         for host in self.roll.named(now) {
--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -1,4 +1,4 @@
-//! Follows what operators and upstreams write to the store.
+//! Follows the feeds of the store, which operators and upstreams write to.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,25 +15,25 @@
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
-/// Pause after an answer that is older than what was seen before.
+/// Pause after the store gave an answer older than a version seen before.
 const STALE_PAUSE: Duration = Duration::from_millis(400);
-/// Longest wait for a host that the settings name; it may be gone.
+/// Longest wait for a seed host of the settings, which may no longer exist.
 const SEED_LIMIT: Duration = Duration::from_millis(900);
 
-/// What a question to the store has brought.
+/// Result of a call to the store.
 pub(super) enum Asked {
-    /// What others may be told.
+    /// An update to send to other hosts.
     News(News),
-    /// The store is there, but has not told what is wanted: a pace more would be lost, up to
-    /// half of the time in which news are to be heeded.
+    /// The store answered without the wanted records. Call it again at once: waiting for the next
+    /// poll would take up to half of the time within which changes must be applied.
     Again,
-    /// Nothing, or nothing for others.
+    /// No update, or none that other hosts need.
     Nothing,
 }
 
 impl Control {
-    /// Follows a feed for ever: listens while a host that ranks first tells what is new,
-    /// else asks the store and tells the others.
+    /// Follows a feed until the task is aborted. Waits for updates while a higher-ranked host polls
+    /// the store; otherwise polls the store and sends updates to other hosts.
     pub(super) async fn follow(self: Rc<Self>, feed: Feed) {
         if feed != Feed::Hosts {
             self.learn_at_start(feed).await;
@@ -57,19 +57,20 @@
         }
     }
 
-    /// Waits, but no longer than until this host knows that nobody else can tell what it lacks.
+    /// Waits up to `most`, or until other hosts turn out to be unable to provide missing records.
     async fn listen(&self, feed: Feed, most: Duration, wait: Wait) {
         let gap_tried = self.follower(feed, |own| Rc::clone(&own.gap_tried));
         let begun = clock::now();
-        // Either way it is looked again whether there is anything to ask.
+        // In both cases the caller checks again whether the store has to be polled.
         let _ = timeout(most, gap_tried.notified()).await;
         self.follower(feed, |own| own.waited(wait, begun));
     }
 
-    /// Asks the store once it is this feed's turn, where there still is anything to ask;
-    /// what others are to be told. The turn ends with the call.
+    /// Calls the store when it is this feed's turn, unless the call is no longer needed by then.
+    /// Returns the update for other hosts. The turn ends with the call.
     async fn ask_in_turn(&self, feed: Feed) -> Asked {
-        // A host that starts asks its seeds for each feed at once.
+        // A starting host does not wait for a turn, so that it asks its seeds for all feeds at
+        // once.
         let has_met_hosts = self.local.borrow().is_some();
         let begun = clock::now();
         let _turn = match has_met_hosts {
@@ -91,16 +92,17 @@
         }
     }
 
-    /// Asks the store; what follows what was known, where anything was.
+    /// Calls the store. Reads the changes since the known version, or the whole feed if no version
+    /// is known.
     pub(super) async fn ask(&self, feed: Feed) -> Asked {
         let (version, wait) = self.follower(feed, |own| (own.version, own.lead.wait()));
-        // A call that waits for news would tell later whether the store is back.
+        // During an outage a long poll would delay detecting that the store is back.
         let wait = if self.outage.is_on() {
             Duration::ZERO
         } else {
             wait
         };
-        // What a host told of the list is without the key.
+        // Other hosts do not send the shared key with the list of hosts.
         let lacks_key = feed == Feed::Hosts && self.key.borrow().is_none();
         let known = version.filter(|_| !lacks_key);
         let begun = clock::now();
@@ -132,7 +134,7 @@
                 self.follower(feed, |own| own.failed(begun, &error));
                 self.note_asked(feed);
                 if error == RecordError::HistoryGone {
-                    // What is read whole needs no history.
+                    // Reading the whole feed does not need the history.
                     let may_read = known.is_some();
                     return if may_read {
                         Asked::Again
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Notes whether the store gave an answer. Whatever it says, it is there.
+    /// Records whether the store answered. Any answer, including an error about the history, shows
+    /// that the store is available.
     fn note_call(&self, feed: Feed, error: Option<&RecordError>) {
         let mut beliefs = self.beliefs.borrow_mut();
         match error {
@@ -171,8 +174,8 @@
         }
     }
 
-    /// Learns from hosts that the settings name, where this host has started while the
-    /// store can't be reached: without the key no host tells it anything.
+    /// Reads a feed from the seed hosts of the settings, if this host has started while the store
+    /// can't be reached. Without the shared key no host sends it updates.
     async fn ask_seeds(&self, feed: Feed) {
         if self.local.borrow().is_some() {
             return;
@@ -205,8 +208,8 @@
         }
     }
 
-    /// What this host has taken from a feed, as another host asks for it; none where it
-    /// can't tell.
+    /// Answers another host's request for the state of a feed; none if this host does not have what
+    /// is asked for.
     pub(super) fn state(&self, query: StateQuery) -> Option<FeedState> {
         let StateQuery {
             feed,
@@ -235,7 +238,7 @@
         Some(FeedState { changes, as_of })
     }
 
-    /// Takes an answer of the store; what others may be told.
+    /// Applies an answer of the store. Returns the update for other hosts.
     fn asked(&self, feed: Feed, changes: Changes, as_of: Instant) -> News {
         let (version, whole) = (changes.version, changes.whole);
         self.follower(feed, |own| own.answered(version, as_of));
@@ -245,7 +248,7 @@
         self.news(feed, version, records)
     }
 
-    /// What other hosts are told of this one's knowledge.
+    /// Builds an update for other hosts from this host's state.
     pub(super) fn news(&self, feed: Feed, version: FeedVersion, records: Vec<Record>) -> News {
         let now = clock::now();
         let as_of = self.follower(feed, |own| own.lead.as_of());
@@ -255,14 +258,15 @@
             version,
             digest: beliefs.digest(feed),
             store: beliefs.store_answers(now),
-            // Only what was learned from the store, or from a host that had, is told.
+            // Updates are sent only after records were received from the store, or from a host that
+            // had them from the store, so the age is known.
             as_of: as_of.unwrap_or(now),
             records,
         }
     }
 
-    /// Takes what another host has learned of a feed. Where something is missing then, that
-    /// host is asked for it, and the store where it can't tell.
+    /// Applies an update from another host. If records are missing, requests them from that host,
+    /// and from the store if the host does not have them.
     pub(super) fn told(&self, from: &HostEntry, news: News) {
         let feed = news.feed;
         let now = clock::now();
@@ -310,7 +314,7 @@
         }
     }
 
-    /// Takes a part of a feed, or all of it; what is worth telling others.
+    /// Applies changes of a feed. Returns the records to pass on to other hosts.
     pub(super) fn take(&self, feed: Feed, changes: Changes, origin: Origin) -> Vec<Record> {
         let now = clock::now();
         self.take_peer_key(&changes);
@@ -335,8 +339,8 @@
     }
 }
 
-/// When an answer of the store was true, at the earliest. The store answers a question that
-/// waits as soon as anything is new, else when the wait is over.
+/// The earliest time at which the store's answer was valid. The store answers a long poll when
+/// there is a change, or when the wait is over.
 fn answer_as_of(begun: Instant, now: Instant, wait: Duration, is_waited: bool) -> Instant {
     match is_waited {
         true => now.min(begun + wait),
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -1,4 +1,4 @@
-//! How far a host has come in a feed of the store.
+//! Progress of this host in a feed of the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,50 +16,52 @@
 use super::waits::{Wait, Waits};
 use crate::settings::{Bounds, GatewaySettings};
 
-/// Longest time for which other hosts are asked for what is missing, in two questions.
+/// Longest time to wait for other hosts to provide missing records, in two requests.
 const GAP_LIMIT: Duration = HOST_ANSWER_LIMIT.saturating_mul(2);
-/// Time in which every host should know of a new one, which takes a part of shared
-/// bounds: some seconds after its start it gets requests.
+/// Time within which every host should know of a new host, which takes a share of common limits. A
+/// new host gets requests some seconds after its start.
 const HOSTS_WITHIN: Duration = Duration::from_secs(4);
 
-/// What another host has taken from a feed, and this one has not.
+/// Records that another host has applied and this host has not.
 #[derive(Debug, Clone)]
 pub(super) struct Missing {
     /// The other host.
     pub teller: HostEntry,
-    /// Digest of all that it has taken.
+    /// Digest of all records that the other host has applied.
     pub digest: FeedDigest,
 }
 
-/// How far this host has come in a feed, and who asks for it.
+/// Progress of this host in a feed, and whether this host polls the store for it.
 pub(super) struct Follower {
     feed: Feed,
-    /// None before the first answer, and once the history is gone.
+    /// Version up to which records were applied; none before the first answer, and after the
+    /// history needed to continue was lost.
     pub version: Option<FeedVersion>,
-    /// Newest version that was ever seen. An answer of an earlier one is stale.
+    /// Newest version seen. An answer with an earlier version is stale.
     pub newest: FeedVersion,
-    /// The age of what is known, for the thread that answers callers.
+    /// Age of the feed's state, shared with the traffic thread.
     heard: Arc<Heard>,
-    /// What held this host up since then.
+    /// Waits since the feed's state was last renewed.
     waits: Waits,
-    /// Since when nothing has been heard from the store.
+    /// Start of the first call that failed since the store was last heard from, directly or through
+    /// another host; none if no call failed.
     lost_since: Option<Instant>,
     pub lead: Lead,
-    /// What was lately taken, for hosts that lack some of it.
+    /// Recently applied records, for hosts that lack some of them.
     pub recent: Recent,
-    /// Told when something is missing.
+    /// Notified when records are missing.
     pub gap: Rc<Notify>,
-    /// Told when this host has done what it can to learn it from others.
+    /// Notified when the request to another host for missing records has completed.
     pub gap_tried: Rc<Notify>,
-    /// What was taken while something before it was missing. Others lack it as well: it is
-    /// passed on with what fills the gap.
+    /// Records applied while earlier ones were missing. Other hosts lack the earlier ones too, so
+    /// these are passed on together with the records that close the gap.
     held_back: Vec<Record>,
-    /// Who told of what is missing.
+    /// The missing records, and the host that has them.
     missing: Option<Missing>,
-    /// Whether another host is being asked for what is missing.
+    /// Whether missing records are being requested from another host.
     is_filling: bool,
-    /// Whether something was missing when this host was last told. Where it still is
-    /// after this host has asked, all is read again.
+    /// Whether records were missing after the last update. If records are still missing after the
+    /// next one, the whole feed is read again.
     lacks: bool,
 }
 
@@ -87,13 +89,13 @@
         }
     }
 
-    /// Notes that this host has waited since `begun` before it could go on with the feed.
+    /// Records a wait that began at `begun` and is over.
     pub fn waited(&mut self, wait: Wait, begun: Instant) {
         self.waits.note(wait, clock::elapsed(begun));
     }
 
-    /// Takes into the lead that the store was heard, or a host that had asked it. Where this
-    /// took long, the log tells how old the belief had become, and what it had waited for most.
+    /// Renews the age of the feed's state. Logs the age and the longest wait if the state had
+    /// become stale.
     fn renew(&mut self, source: Source, take: impl FnOnce(&mut Lead)) {
         let now = clock::now();
         let age = self.lead.age(now).unwrap_or_default();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Takes an answer of the store, which was true at `as_of`.
+    /// Records an answer of the store that was valid at `as_of`.
     pub fn answered(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::Store, |lead| lead.asked(as_of));
         self.advance(version);
@@ -130,21 +132,21 @@
         self.newest = self.newest.max(version);
     }
 
-    /// Notes that all was learned from another host, up to `version`.
+    /// Records that the whole feed up to `version` was read from another host.
     pub fn learned(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.learned(as_of));
         self.advance(version);
     }
 
-    /// Notes that another host has told what was missing, up to `version`.
+    /// Records that another host has provided the missing records up to `version`.
     pub fn filled(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.filled(as_of));
         self.advance(version);
         self.lacks = false;
     }
 
-    /// Keeps for others what was taken up to `version`, all of the feed or a part of it, with
-    /// what was held back; what they are to be told.
+    /// Keeps applied records for other hosts, together with those held back. `whole` says that they
+    /// replace the whole feed. Returns the records to pass on.
     pub fn keep(&mut self, version: FeedVersion, whole: bool, taken: Vec<Record>) -> Vec<Record> {
         let mut records = std::mem::take(&mut self.held_back);
         records.extend(taken);
@@ -155,26 +157,27 @@
         records
     }
 
-    /// Holds back what was taken, since something before it is missing.
+    /// Holds records back while earlier ones are missing.
     pub fn hold_back(&mut self, taken: Vec<Record>) {
         self.held_back.extend(taken);
     }
 
-    /// What is missing, once; it is being asked for until [`Follower::end_filling`].
+    /// Takes the missing records to request. The request counts as in progress until
+    /// [`Follower::end_filling`].
     pub fn take_missing(&mut self) -> Option<Missing> {
         let missing = self.missing.take();
         self.is_filling = missing.is_some();
         missing
     }
 
-    /// Notes that another host has been asked for what was missing, with or without success.
+    /// Records that the request to another host has completed, successfully or not.
     pub fn end_filling(&mut self) {
         self.is_filling = false;
         self.gap_tried.notify_one();
     }
 
-    /// Time for which this host need not ask the store: others tell, or may still tell what
-    /// is missing.
+    /// Time for which this host need not poll the store, because other hosts send updates or may
+    /// still provide missing records.
     pub fn rests(&self, now: Instant) -> Duration {
         let may_be_filled = self.is_filling || self.missing.is_some();
         match may_be_filled {
@@ -183,10 +186,10 @@
         }
     }
 
-    /// Takes what another host has told, which goes up to `version`; it is what is missing
-    /// where there is a gap.
+    /// Records an update up to `version` from another host. `missing` describes what to request if
+    /// there is a gap.
     pub fn told(&mut self, used: Use, version: FeedVersion, as_of: Instant, missing: Missing) {
-        // The teller reaches the store.
+        // The sender of the update reaches the store.
         self.lost_since = None;
         let from = &missing.teller.name;
         match used {
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Takes the failure of a call that began at `begun`.
+    /// Records a failed call to the store that began at `begun`.
     pub fn failed(&mut self, begun: Instant, error: &RecordError) {
         if *error == RecordError::HistoryGone {
             tracing::info!(event = "history_gone", feed = %self.feed);
@@ -223,7 +226,7 @@
     }
 }
 
-/// Shortest time in which what a feed says must be heeded.
+/// Shortest time within which changes of a feed must be applied.
 pub(super) fn tightest(feed: Feed, bounds: &Bounds) -> Duration {
     match feed {
         Feed::Routes => bounds.apply,
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -1,4 +1,4 @@
-//! Passes on to a group of hosts what one of them has learned from the store.
+//! Sends updates from the store to groups of hosts.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,21 +12,21 @@
 use super::Control;
 use super::hosts::BEAT_LIMIT;
 
-/// Largest records that are told, in bytes. A large document is read by each host for
-/// itself: the links of some hosts carry 10 Mbit/s, on which a group of 32 would wait
-/// seconds for a document of 400 KB. So much takes 0.2 s.
+/// Largest size of the records in an update, in bytes; 8 KiB take 0.2 s. Each host reads a larger
+/// document itself: the links of some hosts carry 10 Mbit/s, on which sending 400 KB to a group of
+/// 32 hosts would take seconds.
 const NEWS_MOST_BYTES: usize = 8 << 10;
 
 impl Control {
-    /// Tells every host of the group what the store has told this one, and one host of each
-    /// other group, which passes it on.
+    /// Sends an update from the store to every host of the own group, and to one host of each other
+    /// group, which passes it on.
     pub(super) fn tell_all(&self, news: &News) {
         let mut audience = self.group();
         audience.extend(self.firsts(news.feed));
         self.send_news(news, &audience);
     }
 
-    /// Passes on to the group what a host of another group has told.
+    /// Passes an update from a host of another group on to the own group.
     pub(super) fn pass_on(&self, from: &HostName, feed: Feed, records: Vec<Record>) {
         let group = self.group();
         if group.iter().any(|host| host.name == *from) {
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Tells the own group what this host has asked the store for, where something was missing.
-    /// A group of several listens to its first host, which others expect to pass all on.
+    /// Sends the own group an update that this host polled because records were missing. If there
+    /// are several groups, only the first host of a group does so, since other groups rely on it to
+    /// pass updates on.
     pub(super) fn tell_own_group(&self, news: &News) {
         let group = self.group();
         let hosts = group.iter().chain([&self.me]);
@@ -69,7 +70,7 @@
         others.cloned().collect()
     }
 
-    /// The host of each other group that is the first to ask for a feed.
+    /// The host of each other group that ranks first for a feed.
     pub(super) fn firsts(&self, feed: Feed) -> Vec<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let groups = self.groups(&beliefs.roll).into_iter();
@@ -79,7 +80,7 @@
         firsts.cloned().collect()
     }
 
-    /// Whether all hosts are one group.
+    /// Whether the deployment is a single group.
     pub(super) fn is_one_group(&self) -> bool {
         self.groups(&self.beliefs.borrow().roll).len() == 1
     }
@@ -89,9 +90,9 @@
         groups(others.chain([&self.me]), &self.common.settings.regions)
     }
 
-    /// A client of a host, where no message to it is under way.
+    /// A client of a host; none while a message to the host is in flight.
     pub(super) fn idle_client(&self, host: &HostEntry) -> Option<Rc<PeerClient>> {
-        // One is held by the map of clients.
+        // The map of clients holds one of the two references.
         self.client(host)
             .filter(|client| Rc::strong_count(client) == 2)
     }
@@ -111,7 +112,7 @@
         Some(Rc::clone(client))
     }
 
-    /// Drops clients of hosts that are told nothing, or have moved.
+    /// Drops clients of hosts that this host sends nothing to, or whose address has changed.
     pub(super) fn keep_clients(&self, partners: &[HostEntry]) {
         let feeds = [Feed::Routes, Feed::Upstreams, Feed::Hosts];
         let firsts = feeds.into_iter().flat_map(|feed| self.firsts(feed));
--- a/crates/gateway/src/control/heard.rs
+++ b/crates/gateway/src/control/heard.rs
@@ -1,10 +1,10 @@
-//! How old what a host knows of a feed is.
+//! Age of a feed's state, shared between threads.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// When what is known of a feed was true in the store. Written by the thread that follows the
-/// feed, read by the one that answers callers.
+/// When a feed's state was last known to match the store. Written by the control thread, read by
+/// the traffic thread.
 #[derive(Debug, Default)]
 pub(crate) struct Heard(Mutex<Option<Instant>>);
 
@@ -13,12 +13,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes when it was true.
+    /// Records when the state matched the store.
     pub fn note(&self, as_of: Instant) {
         *self.as_of() = Some(as_of);
     }
 
-    /// Time since then; none where nothing is known.
+    /// Time since then; none if nothing was received.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.as_of().map(|at| now.saturating_duration_since(at))
     }
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -1,4 +1,4 @@
-//! Meets other hosts: through rows in the store, and by heartbeats.
+//! Host membership: rows in the store, and heartbeats.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -27,32 +27,34 @@
 
 const PEER_KEY_BYTES: usize = 32;
 
-/// Time between two heartbeats to the same host; three of them are missed before it
-/// is named to no caller.
+/// Interval between heartbeats to a host. A host that misses three of them is no longer named to
+/// callers.
 const BEAT_EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to a heartbeat: a round trip across regions takes some
-/// 80 ms, a new session four of them.
+/// Longest wait for the answer to a heartbeat. A round trip between regions takes some 80 ms, and a
+/// new session four of them.
 pub(super) const BEAT_LIMIT: Duration = Duration::from_millis(900);
-/// A pause of this host's own process: longer than three heartbeats.
+/// Delay between two heartbeats from which this process counts as having been paused: three
+/// heartbeats.
 const PAUSED: Duration = Duration::from_secs(3);
-/// Time between two looks whether the store's list is true.
+/// Interval between comparisons of the store's list with the hosts that are alive.
 const LOOK_AT_LIST_EVERY: Duration = Duration::from_secs(10);
-/// Time over which hosts that start with the whole deployment spread their first calls. A
-/// store of the users' takes 300 writes a second to a table's part: rows of 295 hosts in
-/// 0.3 s waited for over 0.8 s, and 118 of them were written again.
+/// Time over which the hosts of a first deployment start spread their first calls. A typical store
+/// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows within 0.3
+/// s, writes took over 0.8 s and 118 of them were repeated.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(1_200);
-/// Longest pause of a host that finds no shared key, and that the settings do not name to
-/// others, before it makes one: those that they name come first.
+/// Longest random pause before a host that is no seed and finds no shared key creates one. Seeds
+/// come first.
 const KEY_PAUSE_MOST: Duration = Duration::from_millis(200);
-/// Hosts of the own region that get heartbeats, where there are more.
+/// Most hosts of the own region that get heartbeats.
 const PARTNERS_NEAR: usize = 8;
-/// Hosts of each other region that get heartbeats, where there are more.
+/// Most hosts of each other region that get heartbeats.
 const PARTNERS_FAR: usize = 2;
-/// Time for the last heartbeat and the removal of the own row.
+/// Time limit for the last heartbeat and the removal of the own row.
 const FAREWELL_LIMIT: Duration = Duration::from_secs(1);
 
 impl Control {
-    /// Makes this host known, and hears others, for ever.
+    /// Registers this host and exchanges heartbeats and updates with others, until the task is
+    /// aborted.
     pub(super) async fn meet_hosts(self: Rc<Self>, peers: TcpListener) {
         let key = self.peer_key().await;
         let local = Local {
@@ -74,7 +76,7 @@
         self.beat().await;
     }
 
-    /// Tells others that this host leaves, and takes its row away.
+    /// Tells other hosts that this host is leaving, and removes its row from the store.
     pub(super) async fn leave(&self) {
         self.pool.borrow_mut().close();
         let beat = self.heartbeat(true);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The key that all hosts share; whoever comes first makes it.
+    /// The key shared by all hosts. The first host that finds none creates it.
     async fn peer_key(&self) -> Rc<[u8]> {
         self.until_list_asked().await;
         if !self.is_seed() && self.key.borrow().is_none() {
@@ -100,7 +102,8 @@
                 return Rc::clone(key);
             }
             self.make_key().await;
-            // Whoever was first, the list tells; also where the answer to this was lost.
+            // The list contains the key that was created first, even if the answer to the own
+            // attempt was lost.
             self.ask(Feed::Hosts).await;
             if self.key.borrow().is_none() {
                 sleep(pauses.next().unwrap_or(ROW_PAUSE_MOST)).await;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Waits until the store has been asked for the list of hosts.
+    /// Waits until the first request for the list of hosts has completed.
     pub(super) async fn until_list_asked(&self) {
         let mut list_asked = self.list_asked.subscribe();
         // The sender lives as long as this host.
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Takes the shared key, where the list of hosts brings it.
+    /// Takes the shared key from the list of hosts, if the changes contain it.
     pub(super) fn take_peer_key(&self, changes: &Changes) {
         let key = changes.records.iter().find_map(|record| match record {
             Record::PeerKey(key) => Some(key),
@@ -138,21 +141,21 @@
         }
     }
 
-    /// Whether the settings name this host to others.
+    /// Whether this host is one of the seeds in the settings.
     fn is_seed(&self) -> bool {
         let settings = &self.common.settings;
         settings.seeds.contains(&settings.peer_address)
     }
 
-    /// Waits for this host's turn where all hosts start at once for the first time.
+    /// Waits for a random time if all hosts of the deployment start at once for the first time.
     pub(super) async fn wait_for_turn(&self) {
         if self.common.settings.first_start && !self.is_seed() {
             sleep(rand::rng().random_range(Duration::ZERO..FIRST_START_SPREAD)).await;
         }
     }
 
-    /// Keeps the store's list true: this host's row is put back where another host took
-    /// it for lost, and rows of lost hosts are removed.
+    /// Keeps the store's list of hosts up to date: restores this host's row if another host has
+    /// removed it, and removes rows of lost hosts.
     async fn keep_list(self: Rc<Self>) {
         loop {
             let is_listed = self.beliefs.borrow().roll.list().lists(&self.me);
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Writes this host's row, again until the store has taken it.
+    /// Writes this host's row, with retries until the store has accepted it.
     async fn be_listed(&self) {
         let value = serde_json::to_vec(&self.me).expect("entries are valid JSON");
         let mut pauses = pauses(ROW_PAUSE_MOST);
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Sends heartbeats for ever.
+    /// Sends heartbeats until the task is aborted.
     async fn beat(self: Rc<Self>) {
         let mut last = clock::now();
         loop {
@@ -213,7 +216,7 @@
             let beat = Rc::new(self.heartbeat(false));
             self.compare_works_in_turn(&partners);
             for host in &partners {
-                // One at a time: a host that does not answer is not asked twice at once.
+                // At most one heartbeat to a host is in flight.
                 if let Some(client) = self.idle_client(host) {
                     let told = Rc::clone(&self).tell(host.name.clone(), client, beat.clone());
                     spawn_local(told);
@@ -240,7 +243,7 @@
             incarnation: self.incarnation,
             sequence: self.beats.get(),
             leaving,
-            // Each host judges for itself whom it names to callers.
+            // Each host decides on its own which hosts it names to callers.
             doubts: BTreeSet::new(),
             vouches: BTreeSet::new(),
             lenders: BTreeSet::new(),
@@ -252,8 +255,8 @@
         }
     }
 
-    /// Hosts that get heartbeats: all of a small deployment, else some of each region,
-    /// so that the cost of a host does not grow with the deployment.
+    /// Hosts that get heartbeats: all of a small deployment, otherwise some of each region, so that
+    /// the cost for each host does not grow with the deployment.
     pub(super) fn partners(&self) -> Vec<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let mut by_region: BTreeMap<&str, Vec<&HostEntry>> = BTreeMap::new();
@@ -279,7 +282,7 @@
     }
 }
 
-/// Takes what other hosts send.
+/// Handles messages from other hosts.
 struct Hearer(Rc<Control>);
 
 impl PeerHandler for Hearer {
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -1,7 +1,7 @@
-//! Learns from other hosts what the store says, so that few hosts ask it.
+//! Reads feeds from other hosts, so that few hosts have to poll the store.
 //!
-//! Where all hosts of a large deployment start at once, a thousand rows for each of them
-//! would be most of what the store ever has to tell.
+//! When all hosts of a large deployment start at once, reading a thousand rows for each of them
+//! would be most of the load that the store ever gets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
-/// Times the longest time without news up to which a host's knowledge is of use to one that
-/// could ask the store instead.
+/// Multiple of the time after which a feed is stale. A starting host, which could read the store
+/// instead, accepts no state from another host that is older than this.
 const STATE_AGE_MOST: u32 = 2;
-/// Pause before a host that has nothing to tell yet is asked again.
+/// Pause before a host that has no state yet is asked again.
 const AGAIN_AFTER: Duration = Duration::from_millis(100);
-/// Time after which a host that has started asks the store itself. Where all start at once
-/// three steps from host to host take less.
+/// Time after which a starting host reads the store itself. When all hosts start at once, passing
+/// the state on over three hosts takes less.
 const PATIENCE: Duration = Duration::from_millis(1_500);
 
 impl Control {
-    /// Learns all that a feed says from hosts of the own group, where any is there.
+    /// Reads a whole feed from hosts of the own group, if there are any.
     pub(super) async fn learn_at_start(&self, feed: Feed) {
-        // It ends without an answer too: then the store is asked, and tells it.
+        // After a timeout the feed is read from the store.
         let _ = timeout(PATIENCE, self.learn(feed)).await;
     }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Hosts of the group to ask, in order; none in a deployment of one group, whose hosts
-    /// start faster where each reads the few rows itself.
+    /// Hosts of the group to ask, in order. Empty if the deployment is a single group: its hosts
+    /// start faster when each reads the few rows itself.
     fn elders(&self, feed: Feed) -> Vec<HostEntry> {
         if self.is_one_group() {
             return Vec::new();
@@ -82,10 +82,11 @@
         });
     }
 
-    /// Learns from those who tell of it what this host lacks, for ever.
+    /// Requests missing records from the hosts that sent newer updates, until the task is aborted.
     ///
-    /// It waits for no call to the store: while the store gave one host no answer and another
-    /// feed held the turn, that host took nothing of what it was told, for as long as it lasted.
+    /// This runs independently of calls to the store. Otherwise, while the store does not answer
+    /// and another feed holds the turn to call it, a host would apply no updates from other hosts
+    /// for as long as the outage lasts.
     pub(super) async fn fill_gaps(self: Rc<Self>, feed: Feed) {
         let gap = self.follower(feed, |own| Rc::clone(&own.gap));
         loop {
@@ -97,18 +98,19 @@
         }
     }
 
-    /// Asks the host that has told of something for what is missing here.
+    /// Requests the missing records from the host that has them.
     async fn fill(&self, feed: Feed, missing: &Missing) {
         let (version, reaches_store) =
             self.follower(feed, |own| (own.version, own.lead.reaches_store()));
         let is_filled = self.fill_after(feed, missing, version).await;
-        // All of it takes many times the bytes, but who can't ask the store has nobody else.
+        // The whole feed is many times larger, but a host that can't reach the store has no other
+        // source.
         if !is_filled && version.is_some() && !reaches_store {
             self.fill_after(feed, missing, None).await;
         }
     }
 
-    /// Asks for what follows a version, or for all; true where nothing is missing any more.
+    /// Requests the records after a version, or the whole feed. Returns whether the gap is closed.
     async fn fill_after(&self, feed: Feed, missing: &Missing, after: Option<FeedVersion>) -> bool {
         let Missing { teller, digest } = missing;
         let query = StateQuery {
@@ -135,7 +137,8 @@
         let (version, whole) = (changes.version, changes.whole);
         let source = Source::State;
         let records = self.take(feed, changes, Origin { source, as_of });
-        // The teller may have gone on since: then its next news show whether all is there.
+        // The other host may have advanced since. Its next update then shows whether anything is
+        // missing.
         let is_filled = whole || self.beliefs.borrow().digest(feed) == *digest;
         count_gap(feed, if is_filled { "filled" } else { "lacks_more" });
         if !is_filled {
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -1,5 +1,5 @@
-//! Asks other hosts for tokens of limits that upstreams name, and gives out those of the parts
-//! that this host holds.
+//! Requests tokens of upstreams' rate limits from other hosts, and grants tokens of the shares that
+//! this host holds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 use super::Control;
 use crate::limits::{Dry, LimitCall};
 
-/// Longest wait for a token: a round trip between far regions, or some within one. Another
-/// upstream would have begun by then.
+/// Longest wait for a token: one round trip between distant regions, or several within a region.
+/// Choosing another upstream would be faster than waiting longer.
 const WAIT_MOST: Duration = Duration::from_millis(120);
-/// Time for which the upstream is passed over where that was not enough for all holders: those
-/// that were not asked yet may well have one.
+/// Time for which an upstream is skipped when not all holders could be asked in time, since the
+/// remaining ones may have a token.
 const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(20);
 
 impl Control {
-    /// Answers requests that ask for tokens, for ever.
+    /// Answers token requests of the traffic thread until the task is aborted.
     pub(super) async fn serve_limits(self: Rc<Self>, mut calls: UnboundedReceiver<LimitCall>) {
         while let Some(call) = calls.recv().await {
             let control = Rc::clone(&self);
             spawn_local(async move {
                 let token = control.token(&call.ask).await;
-                // Who has asked may have left.
+                // The request may have been dropped.
                 let _ = call.answer.send(token);
             });
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Answers another host's question.
+    /// Answers another host's token request.
     pub(super) fn answer_limit(&self, from: &str, ask: &LimitAsk) -> LimitReply {
         let holders = self.holders(ask);
         match holders.iter().any(|host| host.name == self.me.name) {
@@ -108,9 +108,9 @@
         reply
     }
 
-    /// Hosts that hold parts of the limit of a start of an upstream: some of its region, or of
-    /// all where it has none. Only hosts of the store's list hold any: one that others don't
-    /// know would add to the sum.
+    /// Hosts that hold shares of the rate limit of a started upstream: some hosts of its region, or
+    /// of all regions if its region has none. Only listed hosts hold shares: a host that others
+    /// don't know of would exceed the total.
     fn holders(&self, ask: &LimitAsk) -> Vec<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let rows = beliefs.roll.list().rows();
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! What the host believes: kept by one thread, published as views.
+//! The control thread: keeps the state of routes, upstreams and hosts, and publishes views of it.
 
 mod beliefs;
 mod feeds;
@@ -42,11 +42,11 @@
 use outage::Outage;
 use telling::Telling;
 
-/// Pace at which what runs out by itself is looked at, where nothing runs out earlier. A host
-/// that falls silent is noticed some seconds later, so this adds little.
+/// Longest interval between checks for expired state. Other hosts are treated as failed after
+/// several seconds of silence, so this interval adds little delay.
 const LOOK_AT_TIMES_EVERY: Duration = Duration::from_millis(500);
 
-/// The control thread's state.
+/// State of the control thread.
 pub(crate) struct Control {
     common: Common,
     records: Box<dyn Records>,
@@ -57,37 +57,37 @@
     upstreams: RefCell<Follower>,
     hosts: RefCell<Follower>,
     outage: Outage,
-    /// Whether the store has been asked for the list of hosts, with or without success.
+    /// Whether the first request for the list of hosts has completed, successfully or not.
     list_asked: watch::Sender<bool>,
-    /// Key that the deployment's hosts share, once it is known.
+    /// Key shared by all hosts of the deployment; none until it is known.
     key: RefCell<Option<Rc<[u8]>>>,
-    /// What hosts need to call each other; none before the shared key is known.
+    /// Identity and key for connections to other hosts; none until the shared key is known.
     local: RefCell<Option<Local>>,
-    /// Clients of hosts that get heartbeats or news.
+    /// Clients of the hosts that receive heartbeats, updates or token requests.
     clients: RefCell<BTreeMap<HostName, Rc<PeerClient>>>,
-    /// News on their way to other hosts.
+    /// Updates that are being sent to other hosts.
     telling: Telling,
-    /// Pools of allowances that this host keeps.
+    /// Pools of customers' allowances that this host keeps.
     pool: RefCell<TokenPool>,
-    /// Hosts of the own zone that gave no answer about tokens, and when.
+    /// Hosts of the own zone that did not answer a token request, and when they were asked.
     silent_near: RefCell<BTreeMap<HostName, Instant>>,
-    /// Parts that this host holds of limits that upstreams name.
+    /// Shares of upstreams' rate limits that this host holds.
     limit_tokens: RefCell<LimitTokens>,
-    /// Holders of such parts that this host asks.
+    /// State of this host's requests to the holders of upstreams' rate limits.
     limit_asks: RefCell<LimitAsks>,
-    /// Heartbeats sent so far.
+    /// Number of heartbeats sent.
     beats: Cell<u64>,
 }
 
-/// What the thread that serves callers asks of this one.
+/// Messages from the traffic thread to the control thread.
 pub(crate) struct Incoming {
-    /// Requests that wait for tokens of limits.
+    /// Requests that wait for a token of an upstream's rate limit.
     pub limit_calls: UnboundedReceiver<LimitCall>,
-    /// What others are to be told of work under which upstreams end.
+    /// Updates about requests that crash upstreams, for other hosts.
     pub work_news: UnboundedReceiver<FreshNews>,
 }
 
-/// Runs until the host has ended.
+/// Runs until the host has stopped.
 pub(crate) async fn run(
     common: Common,
     peers: TcpListener,
@@ -99,7 +99,7 @@
         name: settings.host.clone(),
         zone: settings.zone.clone(),
         caller_address: settings.caller_address,
-        // Requests are not relayed between hosts that serve routes.
+        // Hosts that serve routes do not relay requests to each other.
         relay_address: settings.caller_address,
         peer_address: settings.peer_address,
         operator_address: settings.ready_address,
@@ -145,13 +145,13 @@
         hosts.abort();
         control.leave().await;
     }
-    // What is believed still changes while the last requests are served. The sender
-    // ends with the host.
+    // The state is kept up to date while the last requests are served. The channel closes when the
+    // host has stopped.
     let _ = stage.wait_for(|stage| *stage == Stage::Ended).await;
 }
 
 impl Control {
-    /// Follows the feeds and meets other hosts, for ever.
+    /// Follows the feeds and exchanges messages with other hosts until the task is aborted.
     async fn begin(self: Rc<Self>, peers: TcpListener) {
         self.wait_for_turn().await;
         for feed in [Feed::Hosts, Feed::Routes, Feed::Upstreams] {
@@ -163,7 +163,7 @@
         self.meet_hosts(peers).await;
     }
 
-    /// Publishes what is believed now.
+    /// Publishes a view of the current state.
     fn publish(&self) {
         let view = self.beliefs.borrow_mut().view(clock::now());
         let before = self.common.view.swap(view.into());
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Publishes again where time alone has changed what is believed.
+    /// Publishes a new view when entries expire.
     async fn look_at_times(self: Rc<Self>) {
         let mut suspensions = Suspensions::new(Instant::now(), clock::now());
         loop {
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Goes on after the machine was suspended, as after a pause of this process: the timers
-    /// stood still, so what is too old by now is asked for at once.
+    /// Recovers after the machine was suspended, as after a pause of this process. Timers do not
+    /// run during a suspension, so feeds that may be stale are checked at once.
     fn resume(&self, suspended: Duration) {
         let ms = suspended.as_millis() as u64;
         tracing::warn!(event = "suspended", ms);
--- a/crates/gateway/src/control/origin.rs
+++ b/crates/gateway/src/control/origin.rs
@@ -1,27 +1,27 @@
-//! Where a part of a feed comes from.
+//! Origin of a feed's records.
 
 use std::time::Instant;
 
 use derive_more::Display;
 
-/// Who told what a feed says.
+/// Which kind of source the records came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum Source {
-    /// The store.
+    /// An answer of the store.
     #[display("store")]
     Store,
-    /// Another host, unasked.
+    /// An update that another host sent unasked.
     #[display("news")]
     News,
-    /// Another host that was asked for what is missing, or for all.
+    /// Another host's answer to a request for missing records or for the whole feed.
     #[display("state")]
     State,
 }
 
-/// Where a part of a feed comes from, and how old it is.
+/// Source and age of a feed's records.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Origin {
     pub source: Source,
-    /// When it was true in the store; never later than that.
+    /// Lower bound of the time at which the records matched the store.
     pub as_of: Instant,
 }
--- a/crates/gateway/src/control/outage.rs
+++ b/crates/gateway/src/control/outage.rs
@@ -1,4 +1,4 @@
-//! Calls to the store while it gives no answer.
+//! Limits calls to the store while the store does not answer.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -7,59 +7,61 @@
 use tokio::sync::{Mutex, MutexGuard};
 use tokio::time::sleep;
 
-/// Pause after a first call to the store that fails, doubled after each further one.
+/// Pause after the first failed call to the store, doubled after each further failure.
 const PAUSE_FIRST: Duration = Duration::from_millis(400);
-/// Longest pause between writes of a host's own rows, which nothing waits for.
+/// Longest pause between attempts to write a host's own rows, which are not urgent.
 pub(super) const ROW_PAUSE_MOST: Duration = Duration::from_millis(3_200);
 
-/// Pauses between calls to the store that fail. They vary by chance, so that hosts that were
-/// turned away together do not come back together; none is longer than `most`.
+/// Jittered exponential backoff between failed calls to the store, at most `most`. The jitter
+/// prevents hosts that failed together from retrying together.
 pub(super) fn pauses(most: Duration) -> ExponentialBackoff {
-    // Chance adds as much again.
+    // The jitter adds up to the same amount again.
     let most = most / 2;
     let pauses = ExponentialBuilder::new().with_min_delay(PAUSE_FIRST.min(most));
     let pauses = pauses.with_max_delay(most).without_max_times();
     pauses.with_jitter().build()
 }
 
-/// Whether the store is away, as this host sees it. While it is, one feed after the other
-/// asks, not all at once: each call of each host is in vain and paid for.
+/// Whether the store is unavailable to this host. During an outage the feeds call the store one
+/// after the other, since each call of each host fails and costs money.
 ///
-/// A turn lasts for one call. Any answer ends the outage for all feeds, also one that says
-/// only that the history is gone: a feed that waited on for the others' turns and paces was
-/// 4 s late with a document after 3 s without history.
+/// A turn lasts for one call. Any answer ends the outage for all feeds, even an error that the
+/// history is gone: waiting for the turns and pauses of other feeds would delay a document by 4 s
+/// after 3 s without history.
 #[derive(Default)]
 pub(super) struct Outage {
-    /// When the store may be asked again; none while it answers.
+    /// When the store may be called again; none if the store is available.
     until: Cell<Option<Instant>>,
-    /// Pauses still to come; none while it answers.
+    /// Remaining backoff; none if the store is available.
     pauses: RefCell<Option<ExponentialBackoff>>,
     turn: Mutex<()>,
 }
 
 impl Outage {
-    /// Waits until a call may be made; whoever holds the turn makes the next one.
+    /// Waits until a call may be made. During an outage, returns a guard that excludes calls for
+    /// other feeds.
     pub async fn turn(&self) -> Option<MutexGuard<'_, ()>> {
         self.until.get()?;
         let turn = self.turn.lock().await;
-        // It may have ended with the call before.
+        // The previous call may have ended the outage.
         let until = self.until.get()?;
         sleep(clock::left(until)).await;
         Some(turn)
     }
 
-    /// Whether the store is away.
+    /// Whether the store is unavailable.
     pub fn is_on(&self) -> bool {
         self.until.get().is_some()
     }
 
-    /// Notes that the store has answered; true where it had been away.
+    /// Records that the store answered. Returns whether there was an outage.
     pub fn end(&self) -> bool {
         self.pauses.take();
         self.until.take().is_some()
     }
 
-    /// Notes that it has not. No pause until the next call is longer than `pause_most`.
+    /// Records that the store did not answer. The pause until the next call is at most
+    /// `pause_most`.
     pub fn go_on(&self, pause_most: Duration) {
         let mut pauses = self.pauses.borrow_mut();
         let pauses = pauses.get_or_insert_with(|| self::pauses(pause_most));
--- a/crates/gateway/src/control/telling.rs
+++ b/crates/gateway/src/control/telling.rs
@@ -1,4 +1,4 @@
-//! News on their way to the hosts that listen.
+//! Sends updates to other hosts.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,19 +9,19 @@
 use steering::route::Feed;
 use tokio::task::spawn_local;
 
-/// A feed, and who is told of it.
+/// The receiver of an update, and its feed.
 type Line = (HostName, Feed);
 
-/// Messages under way, one for each listener and feed.
+/// Updates being sent: one at a time for each receiver and feed.
 ///
-/// A listener that is busy with one gets the newest news right after it. Passed over, it would
-/// hear of them with the next question to the store, up to 0.45 of the time in which news are
-/// to be heeded later.
+/// While one is being sent, the newest later update waits and is sent right after. If updates to a
+/// busy receiver were dropped, it would get the changes only with the next poll of the store, later
+/// by up to 0.45 of the time within which changes must be applied.
 #[derive(Clone, Default)]
 pub(super) struct Telling(Rc<RefCell<HashMap<Line, Option<Rc<EncodedNews>>>>>);
 
 impl Telling {
-    /// Tells a listener news, as soon as the message before has ended.
+    /// Sends an update, after the one that is being sent has completed.
     pub fn tell(&self, line: Line, client: Rc<PeerClient>, news: Rc<EncodedNews>) {
         let mut under_way = self.0.borrow_mut();
         if let Some(next) = under_way.get_mut(&line) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What is to be told now; the line ends where there is nothing.
+    /// The next update to send. Removes the entry if there is none.
     fn next(&self, line: &Line) -> Option<Rc<EncodedNews>> {
         let mut under_way = self.0.borrow_mut();
         let next = under_way.get_mut(line).and_then(Option::take);
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -1,4 +1,4 @@
-//! Asks other hosts for customers' tokens, and lends those of the pools that this host keeps.
+//! Requests customers' tokens from other hosts, and lends tokens of the pools that this host keeps.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,21 +17,21 @@
 use super::beliefs::Beliefs;
 use super::group::first;
 
-/// Longest wait for an answer: a new session between far regions takes some 0.3 s.
+/// Longest wait for an answer. A new session between distant regions takes some 0.3 s.
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// Longest wait for a host of the own zone; a round trip takes some 2 ms.
+/// Longest wait for a host of the own zone, where a round trip takes some 2 ms.
 const NEAR_LIMIT: Duration = Duration::from_millis(100);
-/// Time for which a host of the zone that gave no answer is not asked.
+/// Time for which a host of the own zone that did not answer is not asked again.
 const SILENT_FOR: Duration = Duration::from_secs(4);
-/// Hosts of the whole deployment that may keep a group's pool, before those of the own region
-/// and zone: with one silent, the next is asked.
+/// Candidates among all hosts for keeping a group's pool; one in the own region and one in the own
+/// zone follow them. If one does not answer, the next is asked.
 const FIRST_HOSTS: usize = 2;
-/// Least time between two questions of a group: requests that come meanwhile are asked for
-/// together.
+/// Shortest interval between two requests for a group. Demand that arises meanwhile goes into one
+/// request.
 const GATHERED_FOR: Duration = Duration::from_millis(3);
 
 impl Control {
-    /// Keeps this host's part of allowances in pools, for ever.
+    /// Obtains tokens for this host from the pools of allowances, until the task is aborted.
     pub(super) fn keep_tokens(self: &Rc<Self>) {
         for group in 0..GROUPS {
             spawn_local(Rc::clone(self).keep_group(group));
@@ -46,28 +46,28 @@
                 true => self.step(group).await,
                 false => KEEP_ALIVE,
             };
-            // Whichever comes first, the next step finds out what to do.
+            // The next step decides what to do, whether it was woken by time or by demand.
             let _ = timeout(rest, allowances.wanted(group)).await;
             sleep(GATHERED_FOR).await;
         }
     }
 
-    /// Asks a host of the own zone for tokens that requests wait for, for ever; where it has
-    /// none, the pool is asked.
+    /// Asks a host of the own zone for tokens that requests wait for, and the pool if that host has
+    /// too few. Runs until the task is aborted.
     async fn serve_waiting(self: Rc<Self>, group: TokenGroup) {
         let allowances = &self.common.allowances;
         loop {
             allowances.waited_for(group).await;
             let waiting = allowances.leases().waiting(group);
-            // With none there may be tokens of a pool that has lapsed; only a pool puts that
-            // right.
+            // If no request waits, the lease of this host's tokens may have lapsed, which only the
+            // pool can renew.
             if waiting.is_empty() || !self.ask_near(group, waiting).await {
                 allowances.want(group);
             }
         }
     }
 
-    /// Whether a host of the own zone has spared all that requests wait for.
+    /// Asks a host of the own zone for tokens. Returns whether it gave all that requests wait for.
     async fn ask_near(&self, group: TokenGroup, waiting: Vec<(CustomerName, u32)>) -> bool {
         let now = clock::now();
         let near = self.near_host(group, now);
@@ -92,8 +92,8 @@
         all
     }
 
-    /// The host of the own zone that holds tokens for all of it: the first that has not been
-    /// silent lately.
+    /// The host that holds tokens for the whole own zone: the first-ranked one that has not
+    /// recently failed to answer.
     fn near_host(&self, group: TokenGroup, now: Instant) -> Option<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let mut silent = self.silent_near.borrow_mut();
@@ -118,7 +118,7 @@
         TokenReply::Spared(wanted.iter().map(&mut spare).collect())
     }
 
-    /// Forgets tokens of customers that are no more.
+    /// Drops the tokens of customers that no longer exist.
     pub(super) fn forget_customers(&self, customers: &CustomerTable) {
         let is_there = |name: &str| customers.find(name).is_some();
         self.common.allowances.leases().retain(is_there);
@@ -129,7 +129,7 @@
         self.common.view.load().customers.has_allowances()
     }
 
-    /// Asks whoever is to be asked; the time after which to go on.
+    /// Makes the next request to a pool, if one is due. Returns the time until the next step.
     async fn step(&self, group: TokenGroup) -> Duration {
         let candidates = self.pool_hosts(group);
         let ranked: Vec<&str> = candidates.iter().map(|host| host.name.as_str()).collect();
@@ -158,7 +158,7 @@
                     Err(error) => Err(error),
                 }
             }
-            // It has gone since it was last asked.
+            // The host has disappeared since it was last asked.
             None => Ok(TokenReply::NoPool),
         };
         let answered = clock::now();
@@ -196,7 +196,7 @@
         Ok(reply)
     }
 
-    /// Lends tokens to a host, this one among them.
+    /// Lends tokens to a host, which may be this one.
     pub(super) fn lend(&self, from: &str, ask: &TokenAsk) -> TokenReply {
         let view = self.common.view.load();
         let terms = self.common.bounds().allowances;
@@ -210,8 +210,8 @@
         pool.ask(now, from, counts, ask, view.sharers, &bound)
     }
 
-    /// Hosts that may keep a group's pool: some of all, then the first of the own region and
-    /// of the own zone for the time of a cut, at last this host for itself.
+    /// Hosts that may keep a group's pool, in order: some of all hosts, then the first of the own
+    /// region and of the own zone in case of a network partition, and finally this host for itself.
     fn pool_hosts(&self, group: TokenGroup) -> Vec<HostEntry> {
         let beliefs = self.beliefs.borrow();
         let settings = &self.common.settings;
@@ -235,7 +235,7 @@
         chosen.into_iter().cloned().collect()
     }
 
-    /// All hosts of the store's list, this one included whether or not it is there yet.
+    /// All hosts in the store's list, and this host even if it is not listed yet.
     fn listed<'a>(&'a self, beliefs: &'a Beliefs) -> impl Iterator<Item = &'a HostEntry> + Clone {
         let rows = beliefs.roll.list().rows();
         let others = rows.filter(|row| row.name != self.me.name);
--- a/crates/gateway/src/control/waits.rs
+++ b/crates/gateway/src/control/waits.rs
@@ -1,19 +1,19 @@
-//! What holds news of a feed up on their way into this host's beliefs.
+//! Measures what delays the changes of a feed.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// What a host waits for before it goes on with a feed.
+/// What this host waits for before it continues with a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum Wait {
-    /// Another host is expected to tell.
+    /// An update from another host.
     #[display("listening")]
     Listening,
-    /// The pause between two questions to the store.
+    /// The interval between two polls of the store.
     #[display("pace")]
     Pace,
-    /// Other feeds' turns to ask a store that is away, and the pause after a failure.
+    /// The calls of other feeds to an unavailable store, and the backoff after a failure.
     #[display("turn")]
     Turn,
     /// The store's answer.
@@ -24,21 +24,21 @@
     Host,
 }
 
-/// The longest wait since the feed was last heard.
+/// The longest wait since the feed's state was last renewed.
 #[derive(Debug, Default)]
 pub(super) struct Waits {
     longest: Option<(Wait, Duration)>,
 }
 
 impl Waits {
-    /// Notes a wait that is over.
+    /// Records a completed wait.
     pub fn note(&mut self, wait: Wait, took: Duration) {
         if self.longest.is_none_or(|(_, longest)| took > longest) {
             self.longest = Some((wait, took));
         }
     }
 
-    /// The longest one; what follows is counted anew.
+    /// Takes the longest wait and starts over.
     pub fn take(&mut self) -> Option<(Wait, Duration)> {
         self.longest.take()
     }
--- a/crates/gateway/src/control/works.rs
+++ b/crates/gateway/src/control/works.rs
@@ -1,4 +1,4 @@
-//! Tells other hosts of work under which upstreams end, and asks them what this one has missed.
+//! Exchanges updates with other hosts about requests that crash upstreams.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,19 +14,21 @@
 use super::Control;
 use crate::suspects::FreshNews;
 
-/// Time after which a host that starts serves without what others know.
+/// Time after which a starting host serves requests without what other hosts know.
 const PATIENCE: Duration = Duration::from_secs(1);
-/// Hosts that are asked at once, the near ones first: some of those listed may be gone.
+/// Hosts asked at once when this host starts, those of the own region first; some of the listed
+/// ones may be gone.
 const ASKED_AT_START: usize = 3;
-/// Pause before it is looked again whether other hosts can be asked.
+/// Pause between checks whether other hosts can be asked.
 const AGAIN_AFTER: Duration = Duration::from_millis(20);
-/// Time over which news are gathered: all that was in flight at an upstream ends together.
+/// Time over which updates are collected into one message. When an upstream crashes, all its
+/// requests in flight fail together.
 const GATHERED_FOR: Duration = Duration::from_millis(3);
-/// Longest wait for a host to take them, or to say what it knows; who does not hear asks later.
+/// Longest wait for a host's answer. A host that misses an update asks for it later.
 const TELL_LIMIT: Duration = Duration::from_millis(500);
 
 impl Control {
-    /// Tells other hosts what this one learns, for ever.
+    /// Sends updates of this host to other hosts until the task is aborted.
     pub(super) async fn tell_works(self: Rc<Self>, mut fresh: UnboundedReceiver<FreshNews>) {
         while let Some(first) = fresh.recv().await {
             sleep(GATHERED_FOR).await;
@@ -47,9 +49,9 @@
         }
     }
 
-    /// Learns, before this host serves, what others refuse; from the first that answers.
+    /// Learns which requests other hosts refuse, before this host serves; the first answer is used.
     pub(super) async fn learn_works_at_start(&self) {
-        // It ends without an answer too: then this host goes on by its own evidence.
+        // After a timeout this host relies on its own observations.
         let _ = timeout(PATIENCE, self.learn_works()).await;
         self.beliefs.borrow_mut().works_known = true;
         self.publish();
@@ -69,12 +71,12 @@
         });
         let answers: Vec<_> = answers.map(Box::pin).collect();
         if !answers.is_empty() {
-            // With no answer the other hosts are gone, or this one is cut off.
+            // If nobody answers, the other hosts are gone or this host is cut off.
             let _ = select_ok(answers).await;
         }
     }
 
-    /// Asks the next of these hosts what this one may have missed.
+    /// Asks the next of the given hosts for updates that this host may have missed.
     pub(super) fn compare_works_in_turn(self: &Rc<Self>, partners: &[HostEntry]) {
         if partners.is_empty() {
             self.common.suspects.note_alone();
@@ -85,7 +87,7 @@
         spawn_local(async move { control.compare_works(&host).await });
     }
 
-    /// Asks a host what this one may have missed; true where it has answered.
+    /// Asks a host for updates that this host may have missed. Returns whether it answered.
     async fn compare_works(&self, host: &HostEntry) -> bool {
         let message = HostMessage::MissedWorks(self.common.suspects.digest());
         let reply = self.ask_host(host, &message, TELL_LIMIT).await;
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Takes what another host tells, and passes on to the group what comes from outside.
+    /// Applies updates of another host, and passes those from other groups on to the own group.
     pub(super) fn hear_works(self: &Rc<Self>, from: &HostName, news: Vec<WorkNews>) {
         self.common.suspects.hear(&news, from);
         let group = self.group();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and upstreams name things on the wire.
+//! Translation between the wire and the types of this crate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +9,23 @@
 use steering::ids::{RegionName, ZoneName};
 use steering::statement::Statement;
 
-/// Headers of requests to and answers of upstreams.
+/// Names of headers in requests to upstreams and in their answers.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identity of a request; an answer carries that of its request.
+    /// Identity of a request; the answer repeats it.
     pub request_id: HeaderName,
-    /// Object that a request is about.
+    /// Object of a request.
     pub object: HeaderName,
-    /// Time that is left, in milliseconds.
+    /// Time left for a request, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Start of an upstream that a request is meant for; any other refuses it.
+    /// Identity of the upstream process that a request is meant for; any other process refuses the
+    /// request.
     pub expected_upstream: HeaderName,
-    /// Name of the customer that a request is from, for its upstream.
+    /// Name of the customer that sent a request, set for the upstream.
     pub customer: HeaderName,
-    /// Proof that an answer is an upstream's own; every success has one.
+    /// Proves that an answer comes from the upstream itself; required in every success.
     pub proof: HeaderName,
-    /// Set where the upstream did not run the request and will not.
+    /// Present if the upstream did not run the request and will not run it.
     pub not_run: HeaderName,
     /// The upstream's load.
     pub load: HeaderName,
@@ -33,36 +34,35 @@
 /// Load that an upstream reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadNote {
-    /// Requests that it works on.
+    /// Number of requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests waiting at the upstream.
     pub waiting: u32,
 }
 
-/// A caller's question for hosts.
+/// A caller's query for hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LookUp {
-    /// Region of the caller, where it says so.
+    /// Region of the caller; none if not stated.
     pub region: Option<RegionName>,
-    /// Availability zone of the caller, where it says so.
+    /// Availability zone of the caller; none if not stated.
     pub zone: Option<ZoneName>,
 }
 
-/// Translates between the wire and the types of this crate; decides nothing.
+/// Translates between the wire and the types of this crate, without making decisions.
 pub trait Dialect: Send + Sync {
-    /// The names of headers.
+    /// Names of the headers.
     fn headers(&self) -> &HeaderNames;
-    /// Whether a call asks if this host is ready.
+    /// Whether a call is a readiness check.
     fn is_ready_call(&self, method: &Method, uri: &Uri) -> bool;
-    /// The question of a call that asks for hosts; none where it does not.
+    /// Parses a host lookup; none if the call is something else.
     fn look_up_call(&self, method: &Method, uri: &Uri) -> Option<LookUp>;
-    /// The JSON answer to such a call.
+    /// JSON answer to a host lookup, valid for `ttl`.
     fn look_up_answer(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
-    /// Reads a report of load.
+    /// Parses a load report; none if it is malformed.
     fn load(&self, text: &str) -> Option<LoadNote>;
-    /// What the head of an upstream's answer states of it.
+    /// Reads what the head of an upstream's answer declares about the upstream.
     fn statement(&self, status: StatusCode, headers: &HeaderMap) -> Statement;
-    /// Names in the head of an answer by which an upstream says something of itself, and which
-    /// the dialect does not know.
+    /// Header names in an answer that look like declarations of the upstream but are unknown.
     fn unread<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! A running host: its threads and how they are wired.
+//! A running host: its threads and shared state.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,27 +22,27 @@
 use crate::suspects::SharedSuspects;
 use crate::traffic;
 
-/// Makes a client of the store, on the thread that will use it.
+/// Creates the client of the store, on the thread that uses it.
 pub type MakeRecords = Box<dyn FnOnce() -> Box<dyn Records> + Send>;
 
 /// Renders the process's metrics as text.
 pub type RenderMetrics = fn() -> String;
 
-/// Time before the end of the grace at which a stopping host ends in any case.
+/// Time before the end of the grace period at which a stopping host ends in any case.
 const END_BEFORE: Duration = Duration::from_millis(300);
 
 /// Why a host could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// The host can't listen on an address.
     #[display("{name} {address}: {source}")]
     #[from(skip)]
     Listen {
-        /// The setting.
+        /// Name of the setting with the address.
         name: &'static str,
-        /// Its value.
+        /// Value of the setting.
         address: SocketAddr,
-        /// Why.
+        /// Cause reported by the operating system.
         source: io::Error,
     },
     /// A thread or its runtime can't be started.
@@ -50,7 +50,7 @@
     Thread(io::Error),
 }
 
-/// Sockets of a host.
+/// Listening sockets of a host.
 pub(crate) struct Sockets {
     pub callers: TcpListener,
     pub ready: TcpListener,
@@ -86,28 +86,28 @@
     }
 }
 
-/// Where a host stands in its life.
+/// Stage of a host's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It serves.
+    /// The host accepts requests.
     Serving,
-    /// It serves who still comes, and is named to nobody.
+    /// The host still serves arriving requests, but is not named to callers.
     Leaving {
-        /// When it was told to leave.
+        /// When the host was told to stop.
         since: Instant,
     },
-    /// It has served its last request.
+    /// The host has served its last request.
     Ended,
 }
 
-/// What the threads of a host share.
+/// State shared by the threads of a host.
 #[derive(Clone)]
 pub(crate) struct Common {
     pub settings: Arc<GatewaySettings>,
-    /// Bounds in force; those of `settings` are the first ones.
+    /// Limits in force. Those in `settings` are the initial ones.
     pub bounds: Arc<ArcSwap<Bounds>>,
     pub view: Arc<ArcSwap<RouteView>>,
-    /// How old the document in force may be.
+    /// Age of the document's state.
     pub heard: Arc<control::Heard>,
     pub allowances: Arc<Allowances>,
     pub limits: LimitCalls,
@@ -131,11 +131,11 @@
 }
 
 impl GatewayHost {
-    /// Starts a host. It answers that it is not ready until it holds a document.
+    /// Starts a host. The host reports that it is not ready until it has a document.
     ///
     /// # Errors
     ///
-    /// An address that can't be listened on, or a thread that can't be started.
+    /// The host can't listen on an address, or a thread can't be started.
     pub fn start(
         mut settings: GatewaySettings,
         dialect: Arc<dyn Dialect>,
@@ -143,7 +143,7 @@
         render_metrics: RenderMetrics,
     ) -> Result<GatewayHost, GatewayError> {
         let sockets = Sockets::bind(&settings)?;
-        // Port 0 takes a free port; others must be told which.
+        // Port 0 selects a free port. The actual addresses are needed below.
         settings.caller_address = sockets.callers.local_addr()?;
         settings.look_up_address = sockets.look_ups.local_addr()?;
         settings.ready_address = sockets.ready.local_addr()?;
@@ -187,13 +187,13 @@
         })
     }
 
-    /// Its settings, with the addresses that it listens on.
+    /// Settings of the host, with the addresses that it listens on.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
 
-    /// Takes changed settings without ending anything: bounds are in force at once, for
-    /// requests under way too. All else takes a restart.
+    /// Applies changed settings without interrupting requests. The bounds take effect at once, for
+    /// requests in progress too. Other settings require a restart.
     pub fn reload(&self, changed: &GatewaySettings) {
         let before = **self.bounds.load();
         self.bounds.store(Arc::new(changed.bounds));
@@ -202,12 +202,12 @@
         tracing::info!(event = "reload", bounds_changed, ?needs_restart);
     }
 
-    /// Stops the host: it is named to nobody from now on, finishes what it has begun,
-    /// and ends before its grace does.
+    /// Stops the host: no longer names it to callers, completes the requests in progress, and ends
+    /// within the grace period.
     pub fn stop(self) {
         let since = clock::now();
         tracing::info!(event = "leaving", host = self.settings.host);
-        // Both threads may have ended already; then nobody is left to be told.
+        // Both threads may have ended already, so that nobody receives the stage.
         let _ = self.stage.send(Stage::Leaving { since });
         let end = since + self.bounds.load().grace.saturating_sub(END_BEFORE);
         wait(&self.traffic, end);
@@ -218,7 +218,7 @@
     }
 }
 
-/// Waits for a thread, until `end` at most.
+/// Waits for a thread, at most until `end`.
 fn wait(thread: &JoinHandle<()>, end: Instant) {
     while !thread.is_finished() && clock::now() < end {
         thread::sleep(STOP_POLL);
@@ -227,7 +227,7 @@
 
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Runs a future, and what it spawns, on a thread of its own.
+/// Runs a future and the tasks that it spawns on a new thread.
 fn spawn<F>(name: &str, make: impl FnOnce() -> F + Send + 'static) -> io::Result<JoinHandle<()>>
 where
     F: Future<Output = ()>,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! Serves routes: requests that find their upstream by domain, path and object.
+//! Serves routes: forwards callers' requests to upstreams selected by domain, path and object.
 //!
-//! One thread holds what the host believes and publishes it as a view; another
-//! serves callers from the latest view. Every decision is in `steering::route`.
+//! The control thread keeps the host's state and publishes it as a read-only view. The traffic
+//! thread serves callers from the latest view. All routing decisions are made in `steering::route`.
 
 mod allowances;
 mod control;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Tokens of the limits that upstreams name, as the thread that serves callers asks for them.
+//! Requests tokens of upstreams' rate limits for the traffic thread.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 use steering::statement::LimitHeard;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time for which an upstream is passed over of whose limit no holder has told in time.
+/// Time for which an upstream is skipped when no holder of its rate limit has answered in time.
 const UNHEARD_WAIT: Duration = Duration::from_millis(250);
 
-/// There is no token for so long.
+/// No token is available for this time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Dry(pub Duration);
 
 /// A request that waits for a token.
 pub(crate) struct LimitCall {
-    /// What is asked.
+    /// The token request.
     pub ask: LimitAsk,
-    /// Gets the answer; its asker may have left.
+    /// Receives the result; the receiver may have been dropped.
     pub answer: oneshot::Sender<Result<(), Dry>>,
 }
 
-/// Where requests ask; the thread of control asks other hosts.
+/// Passes token requests to the control thread, which asks other hosts.
 #[derive(Debug, Clone)]
 pub(crate) struct LimitCalls(mpsc::UnboundedSender<LimitCall>);
 
 impl LimitCalls {
-    /// For the thread that serves callers, and what comes in at the one that controls.
+    /// Creates the sender for the traffic thread and the receiver for the control thread.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<LimitCall>) {
         let (calls, incoming) = mpsc::unbounded_channel();
         (LimitCalls(calls), incoming)
     }
 
-    /// Asks for a token for a request to the chosen upstream.
+    /// Requests a token for sending to the chosen upstream.
     ///
     /// # Errors
     ///
-    /// There is none; the request must not be sent there.
+    /// No token is available; the request must not be sent to this upstream.
     pub async fn token(&self, choice: &Choice, heard: LimitHeard, urgency: f64) -> Result<(), Dry> {
         let report = &choice.upstream.report;
         let (answer, answered) = oneshot::channel();
@@ -53,7 +53,7 @@
         };
         let token = match self.0.send(call) {
             Ok(()) => answered.await.unwrap_or(Err(Dry(UNHEARD_WAIT))),
-            // The thread of control has ended with the host.
+            // The control thread has ended.
             Err(_) => Err(Dry(UNHEARD_WAIT)),
         };
         let mut condition = choice.upstream.condition();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -7,73 +7,76 @@
 use steering::ids::{HostName, RegionName, ZoneName};
 use steering::route::AllowanceTerms;
 
-/// Where a host stands, listens, and what operators ask of it.
+/// Location, addresses and bounds of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of the host.
+    /// Name of the host, unique in the deployment.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionName,
-    /// Region of every zone, its own included.
+    /// Region of every availability zone of the deployment, including the own one.
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// For callers' requests.
+    /// Address for callers' requests. Port 0 selects a free port, for this and the other addresses
+    /// to listen on.
     pub caller_address: SocketAddr,
-    /// For checks whether the host is ready.
+    /// Address for readiness checks.
     pub ready_address: SocketAddr,
-    /// For callers' look-ups.
+    /// Address for callers' host lookups.
     pub look_up_address: SocketAddr,
-    /// For messages of other hosts.
+    /// Address for messages of other hosts.
     pub peer_address: SocketAddr,
-    /// For whoever reads the metrics; none where nobody may.
+    /// Address for metrics and operators' commands; none to serve neither.
     pub metrics_address: Option<SocketAddr>,
-    /// Peer addresses of some hosts; may be stale.
+    /// Peer addresses of some hosts, which a starting host asks if the store does not answer; may
+    /// be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time, so that all its hosts start
-    /// at once and none is listed yet.
+    /// Whether the whole deployment starts for the first time, so that all hosts start at once and
+    /// none is listed in the store.
     pub first_start: bool,
-    /// Of the store.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// Files and sockets that the process may have open.
+    /// Number of files and sockets that the process may have open.
     pub open_files: u32,
-    /// What operators ask.
+    /// Bounds set by operators.
     pub bounds: Bounds,
 }
 
-/// Bounds that operators state. The defaults hold where they state none.
+/// Bounds set by operators, with defaults for those not set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time between the signal to stop and the end.
+    /// Time from the signal to stop until the host ends.
     pub grace: Duration,
-    /// Time after which an upstream that drains gets nothing.
+    /// Time within which a draining upstream stops receiving requests.
     pub drain: Duration,
-    /// Time after which a document is in force on every host.
+    /// Time within which a new document is in force on every host.
     pub apply: Duration,
-    /// Time after which a host that was cut off counts as in touch again.
+    /// Time within which a host that was cut off is in contact again.
     pub contact: Duration,
-    /// Repeats for each request to a service, over all hosts.
+    /// Retries per request to a service, over all hosts.
     pub repeat_ratio: f64,
-    /// Span over which repeats are counted.
+    /// Time window over which retries are counted.
     pub repeat_window: Duration,
-    /// Repeats besides, in that span, over all hosts.
+    /// Additional retries in a window, over all hosts.
     pub repeat_spare: f64,
-    /// Times of what a cold upstream bears that it may receive in a second.
+    /// Rate of requests to an upstream that is warming up, as a multiple of the rate that it can
+    /// serve.
     pub cold_times: f64,
-    /// Requests besides that it may receive in a second.
+    /// Additional requests per second to an upstream that is warming up.
     pub cold_spare: f64,
-    /// How closely customers' allowances are kept.
+    /// How closely customers' allowances are enforced.
     pub allowances: AllowanceTerms,
-    /// Longest time for which a look-up's answer may hold.
+    /// Longest time for which the answer to a host lookup may be valid.
     pub look_up_ttl_most: Duration,
-    /// Share of a region's requests that may change the region that serves them, from
-    /// one 2 s window to the next.
+    /// Largest fraction of a region's requests that may move to another region from one 2 s window
+    /// to the next.
     pub shift_most: f64,
 }
 
 impl GatewaySettings {
-    /// Names of the settings that differ in `other` and hold for the life of a process.
-    /// Addresses with port 0, and those that settings do not hold, differ from nothing.
+    /// Names of the settings that differ in `other` and require a restart. An address in `other`
+    /// with port 0, which stands for any port, does not count as different.
     pub fn fixed_changes(&self, other: &GatewaySettings) -> Vec<&'static str> {
         let moved = |own: SocketAddr, other: SocketAddr| other.port() != 0 && own != other;
         let changes = [
@@ -125,7 +128,7 @@
 }
 
 impl Default for GatewaySettings {
-    /// A host alone on loopback, on free ports.
+    /// A single host on loopback, on free ports.
     fn default() -> Self {
         let free = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         GatewaySettings {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Work under which upstreams end, as requests ask and hosts tell of it.
+//! Requests that crash upstreams, shared between the threads of a host.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,28 +9,29 @@
 };
 use tokio::sync::mpsc;
 
-/// Who has learned something, for the log, where it is this host itself.
+/// Source in the log of what this host has observed itself.
 const OWN: &str = "own";
 
-/// News for other hosts.
+/// An update for other hosts.
 pub(crate) struct FreshNews {
-    /// When this host learned them.
+    /// When this host learned of the event.
     pub learned: Instant,
     pub news: WorkNews,
-    /// Whether all hosts are to be told, not only those of the own group. A first end, and that
-    /// it was not the cause, is told to few: with hundreds of hosts an upstream that ends by itself
-    /// would cost each of them a message for each request that it had in flight.
+    /// Whether all hosts are told, not only those of the own group. A first crash, and the finding
+    /// that the request did not cause it, go to the own group only: with hundreds of hosts, each
+    /// upstream that crashes for another reason would cost every host a message for each request in
+    /// flight there.
     pub for_all: bool,
 }
 
-/// What this host knows of such work. Others are told by the thread of control.
+/// Crash records of this host. The control thread sends updates to other hosts.
 pub(crate) struct SharedSuspects {
     suspects: Mutex<Suspects>,
     news: mpsc::UnboundedSender<FreshNews>,
 }
 
 impl SharedSuspects {
-    /// Nothing known, and the news that others are to be told.
+    /// Creates empty records, and the receiver of updates for other hosts.
     pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<FreshNews>) {
         let (news, fresh) = mpsc::unbounded_channel();
         let suspects = Mutex::new(Suspects::new(me));
@@ -41,7 +42,7 @@
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What may be done with a request that has come, and the ends known against it.
+    /// Decides whether to admit a request. Also returns the number of crashes attributed to it.
     pub fn admit(&self, work: WorkIdentity) -> (Admission, u32) {
         let mut suspects = self.suspects();
         let admission = suspects.admit(clock::now(), work);
@@ -64,17 +65,18 @@
         (admission, ends)
     }
 
-    /// For how long a request that was let in with `ends` known may not be sent any more.
+    /// Remaining time for which a request must not be sent; none if it may be sent. `ends` is the
+    /// number of crashes known when the request was admitted.
     pub fn barred_for(&self, work: WorkIdentity, ends: u32) -> Option<Duration> {
         self.suspects().barred_for(clock::now(), work, ends)
     }
 
-    /// Whether a request may be sent once more after its upstream has ended.
+    /// Whether a request may be sent again after its upstream has crashed.
     pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
         self.suspects().may_be_repeated(work)
     }
 
-    /// Takes what a request of this host has shown.
+    /// Records what a request of this host has shown.
     pub fn learn(&self, work: WorkIdentity, told: WorkTold) {
         let news = WorkNews { work, told };
         if matches!(told, WorkTold::Ended { .. }) {
@@ -85,19 +87,19 @@
         }
     }
 
-    /// Takes what the host `from` has told.
+    /// Applies updates from the host `from`.
     pub fn hear(&self, news: &[WorkNews], from: &str) {
         for news in news {
             self.take(news, from);
         }
     }
 
-    /// Tells whether another host knows the same.
+    /// Digest of the records, to compare them with those of another host.
     pub fn digest(&self) -> WorkDigest {
         self.suspects().digest(clock::now())
     }
 
-    /// What another host may have missed; empty where it knows the same.
+    /// Records that another host with digest `known` may lack; empty if it has the same.
     pub fn missed(&self, known: WorkDigest) -> Vec<WorkState> {
         let now = clock::now();
         let suspects = self.suspects();
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Takes what this host has missed, as the host `from` knows it.
+    /// Merges records that this host has missed and the host `from` provided.
     pub fn merge(&self, states: &[WorkState], from: &str) {
         let now = clock::now();
         let mut suspects = self.suspects();
@@ -119,13 +121,13 @@
         }
     }
 
-    /// Notes that there is no other host.
+    /// Records that there are no other hosts.
     pub fn note_alone(&self) {
         self.suspects().note_alone();
     }
 
-    /// Does what an operator wants of a request or an object, and tells all hosts; false where there is
-    /// nothing to be done.
+    /// Applies an operator's order for a request or an object, and tells all hosts. Returns false
+    /// if the order changes nothing.
     pub fn order(&self, key: WorkKey, order: WorkTold) -> bool {
         let work = WorkIdentity::named(key);
         let news = WorkNews { work, told: order };
@@ -142,7 +144,8 @@
         self.suspects().refused(clock::now())
     }
 
-    /// Ends in a row under the request or its object, now or before, where the news are new.
+    /// Applies an update. If it is new, returns the larger number of consecutive crashes for the
+    /// request or its object, before or after.
     fn take(&self, news: &WorkNews, by: &str) -> Option<u32> {
         let mut suspects = self.suspects();
         let before: Vec<(WorkKey, u32)> = news
@@ -162,7 +165,7 @@
 
     fn tell(&self, news: WorkNews, for_all: bool) {
         let learned = clock::now();
-        // The thread of control ends with the host.
+        // The control thread ends with the host.
         let _ = self.news.send(FreshNews {
             learned,
             news,
@@ -183,7 +186,7 @@
     metrics::counter!("stagedeck_work_steps_total", "step" => step).increment(1);
 }
 
-/// A request or an object, as the log tells it.
+/// Formats the key of a request or an object as in the log.
 pub(crate) fn name(work: WorkKey) -> String {
     format!("{work:016x}")
 }
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -1,23 +1,23 @@
-//! Which service and region a request goes to.
+//! Selects the service and region for a request.
 
 use steering::ids::{RegionName, ServiceName};
 use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, place, rank};
 
 use super::Traffic;
 
-/// Where a request goes.
+/// Service and region for a request.
 pub(super) struct Destination {
     pub service: ServiceName,
-    /// None where no region may serve it, or can.
+    /// None if no region may or can serve the request.
     pub region: Option<RegionName>,
-    /// Hash of its object, or any number.
+    /// Hash of the request's object, or a random number if it has none.
     pub object: u64,
     pub by_object: bool,
 }
 
 impl Destination {
-    /// The service by weight, the region by the object's place in the region's share. Counts
-    /// the request.
+    /// Selects the service by weight, and the region by the object's position within the region's
+    /// share. Counts the request.
     pub fn find(
         traffic: &Traffic,
         route: &Route,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The object's hash; none where it has none.
+    /// Hash of the object; none if the request has none.
     pub fn own_object(&self) -> Option<u64> {
         self.by_object.then_some(self.object)
     }
 
-    /// The chosen region first, then the others that may serve.
+    /// Regions to try: the selected one first, then the others that may serve the request.
     pub fn regions_to_ask<'p>(
         &self,
         pool: &'p ServicePool,
@@ -60,12 +60,12 @@
     }
 }
 
-/// Whether the homes of a request's route and of its customer both allow a region.
+/// Whether the route and the customer both allow a region.
 fn may_run_in(route: &Route, sender: &Sender, region: &str) -> bool {
     route.may_run_in(region) && sender.may_run_in(region)
 }
 
-/// The region that serves a request; none where no region may or can.
+/// Selects the region for a request; none if no region may or can serve it.
 fn region(
     traffic: &Traffic,
     service: &ServiceName,
@@ -87,7 +87,7 @@
     far.or_else(|| has(own).then(|| own.clone()))
 }
 
-/// The region besides the own that an object goes to, by the regions' slots.
+/// Selects a region other than the own for an object, weighted by the regions' slots.
 fn far_region<'a>(
     object: u64,
     regions: impl Iterator<Item = (&'a RegionName, &'a RegionPool)>,
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way in: its route and body, then its run.
+//! Prepares a request: finds its route, reads its body, and starts its run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use super::trail::Trail;
 use crate::allowances::Beyond;
 
-/// Bodies up to this size are held, so that they can be sent again.
+/// Largest body that is kept in memory so that it can be sent again.
 const HELD_BODY_BYTES: usize = 64 << 10;
-/// Time after which a caller may come back to a host that holds no document yet.
+/// Time after which a caller may retry at a host that has no document yet.
 pub(super) const NO_DOCUMENT_WAIT: Duration = Duration::from_millis(500);
 
 /// Answers a caller's request.
@@ -87,7 +87,7 @@
     answered
 }
 
-/// Takes a request off its customer's allowance.
+/// Takes a token of the customer's allowance, if the sender has one.
 async fn admit(traffic: &Traffic, sender: &Sender, trail: &mut Trail) -> Result<(), Refusal> {
     let Some(customer) = sender.bounded() else {
         return Ok(());
@@ -104,18 +104,18 @@
     })
 }
 
-/// What a request is to be served by.
+/// The route and sender of a request.
 struct Found {
     route: Arc<Route>,
     sender: Sender,
-    /// Bounds on what its caller sends.
+    /// Limits on what the caller sends.
     limits: CallerLimits,
 }
 
-/// The request's route and who sends it, of one version of the document.
+/// Finds the route and the sender, both from the same version of the document.
 ///
-/// Holds no view while the request runs: with thousands of upstreams a view takes half a
-/// megabyte, and some twenty follow each other while one request waits.
+/// The view is not held while the request runs: with thousands of upstreams a view takes half a
+/// megabyte, and some twenty views follow each other while one request waits.
 fn find(
     traffic: &Traffic,
     head: &Head,
@@ -149,8 +149,9 @@
     })
 }
 
-/// The refusal of what the document in force does not have. A host that has heard neither the
-/// store nor its tellers for as long as a change may take does not know what is in force.
+/// The refusal of a route or key that is not in the document in force. A host that has heard
+/// neither from the store nor from a host that polls it for longer than a change may take does not
+/// know which document is in force.
 fn unknown(traffic: &Traffic, refusal: Refusal) -> Refusal {
     let age = traffic.common.heard.age(clock::now());
     match age.is_some_and(|age| age <= traffic.common.bounds().apply) {
--- a/crates/gateway/src/traffic/head.rs
+++ b/crates/gateway/src/traffic/head.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself.
+//! Reads the head of a request.
 
 use std::time::{Duration, Instant};
 
@@ -8,21 +8,20 @@
 
 use crate::dialect::HeaderNames;
 
-/// Deadline of a request that names none.
+/// Deadline of a request that states none.
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
 
-/// The parts of a request's head that decide.
+/// The parts of a request's head that affect routing.
 #[derive(Debug, Clone)]
 pub(super) struct Head {
-    /// Its identity; empty where it names none.
+    /// Identity of the request; empty if it has none.
     pub id: String,
-    /// Domain that it is for.
+    /// Domain of the request; empty if it has none.
     pub domain: String,
-    /// Object that it is about, where it names one.
+    /// Object of the request; none if it has none.
     pub object: Option<Vec<u8>>,
-    /// When it came.
     pub arrived: Instant,
-    /// When its caller leaves.
+    /// When the caller stops waiting.
     pub deadline: Instant,
 }
 
@@ -42,15 +41,15 @@
     }
 }
 
-/// A caller that says it waits longer is taken to wait so long.
+/// Longest deadline; longer ones are reduced to it.
 const DEADLINE_MOST: Duration = Duration::from_secs(3_600);
 
-/// Scheme of credentials that are a key.
+/// Authorization scheme of a key.
 const KEY_SCHEME: &[u8] = b"bearer";
-/// Longest key, in bytes. Those of operators have some tens.
+/// Longest key, in bytes. Operators' keys have some tens of bytes.
 const KEY_MOST_BYTES: usize = 1_024;
 
-/// What a request says of who sends it.
+/// Reads the sender's credentials.
 pub(super) fn credentials(headers: &HeaderMap) -> Credentials {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     match (values.next(), values.next()) {
--- a/crates/gateway/src/traffic/hear.rs
+++ b/crates/gateway/src/traffic/hear.rs
@@ -1,4 +1,4 @@
-//! Takes what upstreams say of themselves in the heads of their answers.
+//! Handles what upstreams declare about themselves in the heads of their answers.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -8,21 +8,21 @@
 use steering::route::Upstream;
 use steering::statement::{LimitChange, LimitNamed, RestAsked, Statement};
 
-/// Names of statements that are kept in mind because nothing reads them.
+/// Most unknown statement names that are remembered.
 const UNREAD_MOST: usize = 32;
 
-/// An answer, as far as it says something of its upstream.
+/// The head of an answer, as far as it concerns the upstream.
 pub(super) struct Said {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// What it states.
+    /// What the head declares.
     pub statement: Statement,
-    /// Whether it is the upstream's own answer, whole as far as can be told from its head. Only
-    /// such a one says something by what it does not name.
+    /// Whether the answer comes from the upstream itself and looks complete by its head. Only in
+    /// such an answer does a missing declaration mean anything.
     pub is_own: bool,
 }
 
-/// Takes what an answer states of its upstream.
+/// Applies what the head of an answer declares about its upstream.
 pub(super) fn hear(upstream: &Upstream, said: &Said) {
     let statement = &said.statement;
     let now = clock::now();
@@ -71,12 +71,12 @@
     }
 }
 
-/// Names of statements that nothing reads, each told once.
+/// Names of unknown statements. Each is logged once.
 #[derive(Debug, Default)]
 pub(super) struct Unread(Mutex<BTreeSet<String>>);
 
 impl Unread {
-    /// Counts those of an answer of `upstream`.
+    /// Counts the unknown statements in an answer of `upstream`.
     pub fn note(&self, upstream: &str, names: &[&HeaderName]) {
         if names.is_empty() {
             return;
--- a/crates/gateway/src/traffic/look.rs
+++ b/crates/gateway/src/traffic/look.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an upstream has ended under a request.
+//! Checks whether an upstream has crashed while serving a request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,20 +9,20 @@
 use super::Traffic;
 use crate::suspects;
 
-/// A look at an upstream that has closed a request's connection. That alone says little: it
-/// loses an answer now and then.
+/// Checks an upstream that has closed a request's connection. A closed connection alone is weak
+/// evidence, since an upstream loses an answer now and then.
 pub(super) struct Look {
     pub traffic: Arc<Traffic>,
     pub upstream: Arc<Upstream>,
     /// Identity of the request.
     pub id: RequestId,
     pub work: WorkIdentity,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
 }
 
 impl Look {
-    /// Looks, and learns of an end.
+    /// Runs the check, and records a crash.
     pub async fn run(self) {
         let closed = clock::now();
         let report = &self.upstream.report;
@@ -37,7 +37,7 @@
             object = suspects::name(self.work.object)
         );
         self.learn(self.work, self.sent, closed);
-        // Whoever has left will not tell what became of what it sent.
+        // Callers that have disconnected do not report the outcome of their requests.
         let abandoned = self.upstream.condition().abandoned.take(closed);
         for (work, sent) in abandoned {
             self.learn(work, sent, closed);
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -1,4 +1,4 @@
-//! Which hosts a caller should use.
+//! Selects the hosts that a caller should use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,17 @@
 
 /// Most hosts in an answer.
 const HOSTS_MOST: usize = 64;
-/// Time for which an answer holds. Some callers keep it three times as long; a host
-/// that stops is to be left by them within its grace.
+/// Time for which an answer is valid. Some callers use it three times as long, and they must leave
+/// a stopping host within its grace period.
 const TTL: Duration = Duration::from_secs(2);
 
-/// Time for which an answer holds.
+/// Time for which an answer is valid.
 pub(super) fn ttl(bounds: &Bounds) -> Duration {
     TTL.min(bounds.look_up_ttl_most)
 }
 
-/// Hosts of the caller's region, else of any. `serving` is this host, where it serves.
+/// Hosts of the caller's region, or of all regions if there are none. `serving` is this host's
+/// address if it accepts requests.
 pub(super) fn hosts(
     view: &RouteView,
     settings: &GatewaySettings,
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, look-ups and checks, all on one thread.
+//! Callers' requests, host lookups and readiness checks, all on one thread.
 
 mod answers;
 mod destination;
@@ -29,25 +29,25 @@
 use hear::Unread;
 use shares::Shares;
 
-/// Time for which a leaving host still takes new connections: callers hold its address
-/// for as long as a look-up's answer holds. At most half of the grace.
+/// Time for which a leaving host accepts new connections, at most half of the grace period. Callers
+/// use its address until the lookup's answer expires.
 const TAKES_NEW_FOR: Duration = Duration::from_secs(3);
-/// Pace at which shares are adapted to load.
+/// Interval at which shares are adapted to load.
 const ADAPT_EVERY: Duration = Duration::from_secs(1);
-/// Pace at which a leaving host looks whether it has served its last request.
+/// Interval at which a leaving host checks whether its last connection has closed.
 const LAST_POLL: Duration = Duration::from_millis(20);
 
-/// The traffic thread's state.
+/// State of the traffic thread.
 pub(crate) struct Traffic {
     common: Common,
     dialect: Arc<dyn Dialect>,
     connections: Connections,
     render_metrics: RenderMetrics,
     shares: Mutex<Shares>,
-    /// What upstreams say of themselves and nothing reads.
+    /// Names of unknown statements in upstreams' answers.
     unread: Unread,
-    /// Callers' connections that are open. One ends only when its last answer has been
-    /// written whole.
+    /// Open connections of callers. A connection closes only after its last answer has been written
+    /// completely.
     open: AtomicU32,
 }
 
@@ -56,7 +56,7 @@
         self.shares.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time for which a leaving host still takes new connections.
+    /// Time for which a leaving host accepts new connections.
     fn takes_new_for(&self) -> Duration {
         TAKES_NEW_FOR.min(self.common.bounds().grace / 2)
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Serves until the host leaves and the last connection has ended.
+/// Serves until the host is leaving and the last connection has closed.
 pub(crate) async fn run(
     common: Common,
     sockets: Sockets,
@@ -90,7 +90,7 @@
         server::accept(&traffic, metrics, server::Side::Metrics);
     }
     spawn_local(adapt(Arc::clone(&traffic)));
-    // The sender ends with the host.
+    // The channel closes when the host has stopped.
     let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
     sleep(traffic.takes_new_for()).await;
     callers.abort();
--- a/crates/gateway/src/traffic/operator.rs
+++ b/crates/gateway/src/traffic/operator.rs
@@ -1,4 +1,5 @@
-//! What operators ask at the address for metrics: the metrics, and work that is refused.
+//! Endpoint for operators at the metrics address: metrics, and requests refused because they crash
+//! upstreams.
 
 use std::sync::Arc;
 
@@ -13,10 +14,10 @@
 use super::answers::status;
 use crate::suspects;
 
-/// Path of the list of requests and objects that are refused; the key of one may follow.
+/// Path of the list of refused requests and objects. The key of an entry may follow.
 const WORKS_PATH: &str = "/works";
 
-/// Answers an operator. Only who asks from the host itself may change anything.
+/// Answers an operator. Only clients on this host may make changes.
 pub(super) fn answer(
     traffic: &Arc<Traffic>,
     request: &Request<Incoming>,
@@ -43,7 +44,7 @@
     })
 }
 
-/// A key as the log tells it.
+/// Parses a key in the format of the log.
 fn key(text: &str) -> Option<WorkKey> {
     let is_key = text.len() == 16;
     is_key.then(|| WorkKey::from_str_radix(text, 16).ok())?
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -1,4 +1,5 @@
-//! A request's run: part, region, upstream, and what follows a miss.
+//! Handles one request: selects a service, region and upstream, sends the request, and decides on
+//! retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,49 +25,51 @@
 use super::trail::Trail;
 use crate::limits::Dry;
 
-/// Time left below which nothing is sent: no answer could come back.
+/// Remaining time below which nothing is sent, since no answer could arrive in time.
 const TIME_LEAST: Duration = Duration::from_millis(5);
-/// Usual time of a service that has not answered yet, as a share of the goal.
+/// Assumed response time of a service that has not answered yet, as a fraction of the latency goal.
 const USUAL_AT_FIRST: f64 = 0.5;
-/// Share of a wait at a full upstream that the least urgent requests accept.
+/// Fraction of the wait at a full upstream that the least urgent requests accept.
 const URGENCY_LEAST: f64 = 0.6;
-/// Share that each rank of urgency costs.
+/// Decrease of this fraction for each level of priority.
 const URGENCY_STEP: f64 = 0.2;
-/// Upstreams without a token of their limits that a request asks for one. Where many name
-/// limits, the first would be asked again and again until the deadline.
+/// Most upstreams without a token of their rate limit that a request tries. Without this bound, a
+/// request would try them again and again until its deadline if many upstreams declare limits.
 const TURNED_AWAY_MOST: u32 = 4;
 
-/// A request on its way.
+/// A request in progress.
 pub(super) struct Run<'a> {
     pub traffic: &'a Arc<Traffic>,
     pub head: &'a Head,
     pub trail: &'a mut Trail,
     pub route: &'a Route,
-    /// Who sends it.
+    /// Who sent the request.
     pub sender: &'a Sender,
     pub parts: Parts,
     pub body: WorkBody,
-    /// When it must be answered, whatever with.
+    /// Time by which the request must be answered, even with an error.
     pub deadline: Instant,
-    /// Whether its caller came before.
+    /// Whether the caller has sent this request before.
     pub which_try: Try,
-    /// How far each send got.
+    /// Progress of each send.
     pub sends: Vec<Sent>,
-    /// Upstreams that are not asked again: they were full, or could not be reached.
+    /// Upstreams that are not tried again, because they refused the request or could not be
+    /// reached.
     pub tried: Vec<UpstreamId>,
-    /// What it is known by where it comes again.
+    /// Identity of the request and its object for crash detection; the same when the request is
+    /// repeated.
     pub work: WorkIdentity,
-    /// Ends known against it when it was let in.
+    /// Crashes attributed to the request when it was admitted.
     pub ends_known: u32,
-    /// Upstreams that were chosen and had no token of their limits.
+    /// Number of selected upstreams that had no token of their rate limit.
     pub turned_away: u32,
 }
 
-/// No upstream could be chosen.
+/// No upstream could be selected.
 pub(super) struct Unchosen {
-    /// What is answered.
+    /// The refusal to answer with.
     pub refusal: Refusal,
-    /// Upstreams that were passed over for what they have said of themselves.
+    /// Upstreams skipped because of what they declared about themselves.
     pub passed_over: Vec<UpstreamId>,
 }
 
@@ -80,7 +83,7 @@
 }
 
 impl Run<'_> {
-    /// Sends it until it is answered or given up.
+    /// Sends the request, with retries, until it is answered or fails.
     pub async fn run(&mut self) -> Result<Response<Body>, Refusal> {
         let (admission, ends_known) = self.traffic.common.suspects.admit(self.work);
         self.ends_known = ends_known;
@@ -105,7 +108,7 @@
             })?;
             let choice = match self.take_token(choice).await {
                 Ok(choice) => choice,
-                // It is passed over from now on, until there is a token again.
+                // The upstream is skipped until a token is available again.
                 Err(_) if self.turned_away < TURNED_AWAY_MOST => continue,
                 Err(Dry(wait)) => return Err(self.limited(wait)),
             };
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Takes a token of the limit that the chosen upstream names, where it names one: any send
-    /// counts, whichever way it was chosen.
+    /// Takes a token of the rate limit that the selected upstream declares, if any. Every send
+    /// counts against the limit, however the upstream was selected.
     async fn take_token(&mut self, choice: Choice) -> Result<Choice, Dry> {
         let Some(heard) = choice.limit(clock::now()) else {
             return Ok(choice);
@@ -137,7 +140,7 @@
         })
     }
 
-    /// Sends it once; none where no answer came that may be passed on.
+    /// Sends the request once; none if there is no answer to pass on.
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
         self.trail.chose(choice);
@@ -181,7 +184,8 @@
                 work: self.work,
                 sent: begun,
             };
-            // It goes on where the caller leaves, or the request's time is over.
+            // The check continues in its own task if the caller disconnects or the request times
+            // out.
             let _ = spawn_local(look.run()).await;
         }
         let is_lost = missed.sent == Sent::Not && !missed.lacks_token;
@@ -231,7 +235,8 @@
                 Ok(choice) => return Ok(choice),
                 Err(refused) => no_room = refused,
             }
-            // A full region is not left at once: shares between regions move slowly.
+            // A request does not leave a region that is merely full: the shares between regions are
+            // shifted gradually.
             if no_room.is_reachable() {
                 break;
             }
@@ -239,7 +244,8 @@
         Err(self.unchosen(no_room))
     }
 
-    /// More urgent requests accept longer waits, so that they are refused last.
+    /// Fraction of the possible wait that the request accepts. More urgent requests accept longer
+    /// waits, so they are refused last.
     fn urgency(&self) -> f64 {
         let of_customer = self
             .sender
@@ -278,7 +284,7 @@
         self.deadline.saturating_duration_since(now) < TIME_LEAST
     }
 
-    /// What is answered where it may be sent to no other upstream.
+    /// The refusal of a request that can't be sent to another upstream.
     fn given_up(&self) -> Refusal {
         if self.is_late(clock::now()) {
             return self.out_of_time();
@@ -289,8 +295,8 @@
         }
     }
 
-    /// What is answered where nothing has run: the upstreams refused it, or its work is refused
-    /// since it was let in.
+    /// The refusal of a request that has not run: the upstreams refused it, or it has been refused
+    /// because of crashes since it was admitted.
     fn not_sent(&self) -> Refusal {
         let suspects = &self.traffic.common.suspects;
         match suspects.barred_for(self.work, self.ends_known) {
@@ -312,7 +318,8 @@
         }
     }
 
-    /// What is answered where several upstreams had no token, the last one for so long.
+    /// The refusal after several upstreams had no token of their rate limit; `come_back` is from
+    /// the last one.
     fn limited(&self, come_back: Duration) -> Refusal {
         self.given_up_with(Refusal::NotRun {
             cause: Cause::UpstreamsLimit,
@@ -320,7 +327,7 @@
         })
     }
 
-    /// `not_run` where that is true.
+    /// Returns `not_run` if the request can't have run, otherwise the refusal that says so.
     fn given_up_with(&self, not_run: Refusal) -> Refusal {
         match self.given_up() {
             Refusal::NotRun { .. } => not_run,
@@ -328,7 +335,7 @@
         }
     }
 
-    /// What is answered when its time is over.
+    /// The refusal of a request whose time is over.
     pub fn out_of_time(&self) -> Refusal {
         match after(&self.sends, self.route.repeatable, false) {
             Fate::NotRun => Refusal::NotRun {
@@ -340,8 +347,8 @@
     }
 }
 
-/// The refusal of a request that has not run. Callers that are refused together are told
-/// times apart.
+/// The refusal of a request that has not run. The retry time is randomized so that callers refused
+/// together do not return together.
 fn not_run(no_room: &NoRoom) -> Refusal {
     Refusal::NotRun {
         cause: match no_room.lack {
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream.
+//! Sends a request to an upstream once.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use super::head::Head;
 use super::hear::{Said, hear};
 
-/// Connections to an upstream where its service names no bound.
+/// Most connections to an upstream whose service declares no limit.
 const CONNECTIONS_DEFAULT: u32 = 256;
 
-/// A request in flight at an upstream; ends when dropped.
+/// A request in flight at an upstream. Dropping it ends the flight.
 struct Flight {
     upstream: Arc<Upstream>,
     begun: Instant,
     judged: Cell<bool>,
     work: WorkIdentity,
-    /// Whether anything of it may have left this host.
+    /// Whether any part of the request may have left this host.
     is_sent: Cell<bool>,
 }
 
@@ -75,17 +75,17 @@
     }
 }
 
-/// A send that brought no answer to pass on.
+/// A send that did not yield an answer to pass on.
 #[derive(Debug)]
 pub(super) struct Missed {
-    /// How far it got.
+    /// How far the request got.
     pub sent: Sent,
-    /// Why, for the log.
+    /// Reason for the log.
     pub reason: String,
-    /// Whether it was sent nowhere because its upstream has named a limit since it was chosen:
-    /// it may go there with a token.
+    /// Whether nothing was sent because the upstream has declared a rate limit since it was
+    /// selected. The request may be sent there with a token.
     pub lacks_token: bool,
-    /// Whether its connection was closed, or broken, before an answer came.
+    /// Whether the connection was closed or broken before an answer arrived.
     pub was_closed: bool,
 }
 
@@ -100,26 +100,26 @@
     }
 }
 
-/// What is sent.
+/// The request to send.
 pub(super) struct Sending<'a> {
     pub head: &'a Head,
     pub parts: &'a Parts,
     pub body: &'a mut WorkBody,
     pub repeatable: bool,
-    /// When an answer is of no use any more.
+    /// Time after which an answer is useless.
     pub deadline: Instant,
-    /// Name of its route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Who sends it.
+    /// Who sent the request.
     pub sender: &'a Sender,
-    /// What it is known by where it comes again.
+    /// Identity of the request and its object for crash detection.
     pub work: WorkIdentity,
-    /// Ends known against it when it was let in.
+    /// Crashes attributed to the request when it was admitted.
     pub ends_known: u32,
 }
 
-/// Sends a request once, and passes the answer on if it is one. `sent` is told as soon
-/// as anything of the request may have left this host.
+/// Sends a request once and returns the answer if it can be passed on. `sent` is set as soon as any
+/// part of the request may have left this host.
 pub(super) async fn send(
     traffic: &Arc<Traffic>,
     choice: &Choice,
@@ -218,8 +218,8 @@
     Some(request)
 }
 
-/// Tells the upstream who the customer is, and not by which key that is known. What the
-/// caller itself said of it is not passed on.
+/// Names the customer to the upstream and removes its key. Removes a customer header that the
+/// caller itself has set.
 fn name_sender(headers: &mut HeaderMap, name: &HeaderName, sender: &Sender) -> Option<()> {
     if *sender == Sender::Anyone {
         return Some(());
@@ -232,7 +232,7 @@
     Some(())
 }
 
-/// Passes an answer on, where it is this request's own and the upstream's.
+/// Returns an answer to pass on, if it belongs to this request and comes from the upstream itself.
 fn take(
     traffic: &Arc<Traffic>,
     choice: &Choice,
@@ -267,7 +267,7 @@
     let unread = traffic.dialect.unread(headers);
     traffic.unread.note(&flight.upstream.report.id, &unread);
     let load = headers.get(&names.load).and_then(|load| load.to_str().ok());
-    // One that wants rest has nothing to do and no room: its load says nothing of either.
+    // An upstream that asks to rest is idle and accepts nothing, so its load is meaningless.
     let load = load.filter(|_| statement.rest.is_none());
     if let Some(load) = load.and_then(|load| traffic.dialect.load(load)) {
         let reporter = &flight.upstream;
--- a/crates/gateway/src/traffic/server.rs
+++ b/crates/gateway/src/traffic/server.rs
@@ -22,26 +22,26 @@
 use super::{Traffic, forward, look_up, operator};
 use crate::host::Stage;
 
-/// Pause after a failed accept: most often the process has no descriptor left.
+/// Pause after a failed accept, which is usually caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least that hyper takes as its buffer for heads, in bytes.
+/// Smallest buffer for heads that hyper accepts, in bytes.
 const HEAD_BYTES_LEAST: usize = 8_192;
-/// Share of the open files that callers' connections may take; the rest is for
-/// upstreams, the store and other hosts.
+/// Fraction of the open files available to callers' connections. The rest is for upstreams, the
+/// store and other hosts.
 const CALLERS_SHARE: f64 = 0.6;
 
-/// Who calls at a listener.
+/// Purpose of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Side {
-    /// Callers with requests.
+    /// Callers' requests.
     Callers,
-    /// Callers that ask for hosts, and checks whether this one is ready.
+    /// Callers' host lookups, and readiness checks.
     Checks,
-    /// Whoever reads the metrics.
+    /// Metrics and operators' commands.
     Metrics,
 }
 
-/// Accepts connections until aborted.
+/// Accepts connections until the task is aborted.
 pub(super) fn accept(traffic: &Arc<Traffic>, listener: TcpListener, side: Side) -> JoinHandle<()> {
     let traffic = Arc::clone(traffic);
     spawn_local(async move {
@@ -55,7 +55,8 @@
         let most = f64::from(traffic.common.settings.open_files) * CALLERS_SHARE;
         loop {
             match listener.accept().await {
-                // Closed unread, so that the caller may go elsewhere.
+                // The connection is closed without reading, so that the caller can try another
+                // host.
                 Ok(_)
                     if side == Side::Callers
                         && f64::from(traffic.open.load(Ordering::Relaxed)) >= most =>
@@ -78,7 +79,7 @@
     })
 }
 
-/// Counts a caller's open connection.
+/// Counts an open connection of a caller while it exists.
 struct Open(Arc<Traffic>);
 
 impl Open {
@@ -118,13 +119,13 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // hyper counts a connection's rest as part of the next head.
+        // hyper counts the idle time between requests as time for reading the next head.
         .header_read_timeout(limits.idle_timeout)
         .max_buf_size(limits.head_bytes.max(HEAD_BYTES_LEAST))
         .serve_connection(TokioIo::new(stream), service);
     pin!(connection);
     let closing = async {
-        // Idle connections of a leaving host are closed once it takes no new ones.
+        // Once a leaving host takes no new connections, its idle connections are closed.
         let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
         sleep(leaving.takes_new_for()).await;
     };
@@ -141,7 +142,7 @@
     }
 }
 
-/// Answers a look-up or a check.
+/// Answers a host lookup or a readiness check.
 fn check(traffic: &Arc<Traffic>, request: &Request<Incoming>) -> Response<Body> {
     let (method, uri) = (request.method(), request.uri());
     let view = traffic.common.view.load();
--- a/crates/gateway/src/traffic/shares.rs
+++ b/crates/gateway/src/traffic/shares.rs
@@ -1,4 +1,5 @@
-//! What the traffic thread counts and adapts: budgets, shares, usual times.
+//! State that the traffic thread adapts: retry budgets, shares of services and regions, and
+//! response times.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -12,27 +13,27 @@
 
 use crate::settings::{Bounds, GatewaySettings};
 
-/// Weight of the newest answer in a service's usual time.
+/// Weight of the newest response time in a service's moving average.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Share of an answer's time that is work at least, whatever wait was expected.
+/// Smallest fraction of a response time that counts as work, whatever wait was expected.
 const WORK_LEAST: f64 = 0.3;
-/// An answer counts at most as so many times the usual, so that few slow upstreams
-/// do not become the usual.
+/// Cap on a response time, as a multiple of the average, so that a few slow upstreams do not
+/// dominate the average.
 const USUAL_CAP: f64 = 3.0;
 
-/// Counts and shares of this host.
+/// Adaptive state of this host.
 pub(super) struct Shares {
     region: RegionName,
     repeats: HashMap<ServiceName, RepeatPart>,
     parts: HashMap<RuleName, PartSpread>,
     regions: HashMap<ServiceName, RegionSpread>,
-    /// Usual time from a send to the head of its answer, in milliseconds.
+    /// Moving average of the time from a send to the head of its answer, in milliseconds.
     usual_ms: HashMap<ServiceName, f64>,
-    /// Times of each route's work at each service.
+    /// Estimated work time of each route at each service.
     estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
     /// How long callers of each route wait.
     patience: HashMap<RuleName, Patience>,
-    /// Version of the document whose routes these are of.
+    /// Version of the document that the routes belong to.
     version: u64,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The service that a request of a route goes to.
+    /// Selects the service for a request of a route, by weight.
     pub fn part<'a>(&mut self, route: &'a Route) -> &'a ServiceName {
         if route.parts.len() == 1 {
             return &route.parts[0].service;
@@ -59,7 +60,8 @@
         &route.parts[spread.pick(&route.parts)].service
     }
 
-    /// Whether a request stays in this host's region; `place` is its object's.
+    /// Whether a request stays in this host's region. `place` is the position of its object, by
+    /// which the share of the region applies.
     pub fn stays(&mut self, service: &str, pool: &ServicePool, place: f64, now: Instant) -> bool {
         if !self.regions.contains_key(service) {
             let spread = RegionSpread::new(by_room(pool, &self.region, now, self.usual(service)));
@@ -69,12 +71,12 @@
         spread.is_none_or(|spread| spread.stays(place))
     }
 
-    /// Counts a request to a service.
+    /// Counts a request to a service for its retry budget.
     pub fn request(&mut self, service: &str, bounds: &Bounds, now: Instant) {
         self.repeat_part(service, bounds).request(now);
     }
 
-    /// Whether a caller of a route came before, by the time that it will wait.
+    /// Whether a caller of a route has sent the request before, judged by how long it will wait.
     pub fn which_try(&mut self, route: &str, time: Duration) -> Try {
         if !self.patience.contains_key(route) {
             self.patience.insert(route.to_owned(), Patience::default());
@@ -83,7 +85,7 @@
         patience.take(time)
     }
 
-    /// Takes a repeat from the service's budget.
+    /// Takes a retry from the service's budget. Returns whether it is allowed.
     pub fn repeat(
         &mut self,
         service: &str,
@@ -111,17 +113,18 @@
         part
     }
 
-    /// Requests in a second that a cold upstream may receive, which bears `bears`.
+    /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
+    /// serve.
     pub fn cold_bound(bounds: &Bounds, bears: f64) -> f64 {
         bears * bounds.cold_times + bounds.cold_spare
     }
 
-    /// The service's usual time, where any answer has come.
+    /// Average response time of the service; none before its first answer.
     pub fn usual(&self, service: &str) -> Option<Duration> {
         self.usual_ms.get(service).copied().map(from_ms)
     }
 
-    /// What is known of the times of a route's work at a service.
+    /// Estimated work time of a route at a service.
     pub fn estimate(&mut self, service: &str, route: &Route) -> Estimate {
         if !self.estimates.contains_key(service) {
             self.estimates.insert(service.to_owned(), HashMap::new());
@@ -133,7 +136,7 @@
         routes[&route.name].clone()
     }
 
-    /// Takes how long a route's work took at an upstream.
+    /// Learns from the response time of a request.
     pub fn learn(&mut self, now: Instant, route: &str, choice: &Choice, took: Duration) {
         let service = &choice.upstream.report.service;
         let expected = &choice.expectation;
@@ -141,7 +144,7 @@
         let work = took.saturating_sub(expected.wait).max(least);
         self.answered(service, work);
         let routes = self.estimates.get_mut(service);
-        // A document that has taken the route away since is no reason to fail.
+        // A new document may have removed the route meanwhile.
         let Some(estimate) = routes.and_then(|routes| routes.get_mut(route)) else {
             return;
         };
@@ -149,7 +152,7 @@
         choice.upstream.condition().speed.take(now, ratio);
     }
 
-    /// Forgets routes that a new document no longer has.
+    /// Drops the state of routes that are not in a new document.
     fn forget_routes(&mut self, view: &RouteView) {
         if view.version == self.version {
             return;
@@ -164,7 +167,7 @@
         self.estimates.retain(|_, routes| !routes.is_empty());
     }
 
-    /// Takes the time of an answer.
+    /// Updates the service's average response time.
     fn answered(&mut self, service: &str, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match self.usual_ms.get_mut(service) {
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Moves the regions' shares, and forgets what no document names any more.
+    /// Adapts the regions' shares, and drops the state of routes that are not in the document.
     pub fn adapt(
         &mut self,
         view: &Arc<RouteView>,
@@ -182,7 +185,8 @@
         passed: Duration,
     ) {
         self.forget_routes(view);
-        // Half of what is allowed from one 2 s window to the next leaves room for chance.
+        // The step is half of the shift allowed between two 2 s windows, which leaves room for
+        // random variation.
         let step = bounds.shift_most / 2.0 / 2.0 * passed.as_secs_f64().min(2.0);
         for (service, spread) in &mut self.regions {
             let usual = self.usual_ms.get(service).copied().map(from_ms);
@@ -209,7 +213,7 @@
     }
 }
 
-/// The share that a region's room has in what its callers ask.
+/// The region's fraction of the service's free capacity.
 fn by_room(pool: &ServicePool, region: &RegionName, now: Instant, usual: Option<Duration>) -> f64 {
     let room = |pool: &RegionPool| pool.room(now, usual);
     let own = pool.regions.get(region).map_or(0.0, room);
--- a/crates/gateway/src/traffic/trail.rs
+++ b/crates/gateway/src/traffic/trail.rs
@@ -1,4 +1,4 @@
-//! What decided a request's way, for the log and the metrics.
+//! Records how a request was routed, for the log and metrics.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 use super::run::Unchosen;
 use crate::suspects;
 
-/// Writes a request's line: an event of its own, then what decided its way.
+/// Logs an event with the routing record of its request. The event's own fields come first.
 macro_rules! tell {
     ($level:ident, $event:literal, $trail:expr $(, $($more:tt)+)?) => {
         tracing::$level!(
@@ -44,60 +44,62 @@
     };
 }
 
-/// The inputs of a request's last decision, with their age or version.
+/// Inputs of the last routing decision for a request, with their age or version.
 ///
-/// Dropped before its end was noted, it tells that the caller has left.
+/// A record that is dropped without [`Trail::end`] is logged as a request whose caller has
+/// disconnected.
 #[derive(Debug)]
 pub(super) struct Trail {
     id: RequestId,
     arrived: Instant,
     ended: bool,
-    /// Version of the document that named the route.
+    /// Version of the document that contains the route.
     pub version: u64,
     pub route: RuleName,
     pub service: ServiceName,
-    /// Customer that it is from; none where the route or the document asks for no key.
+    /// Customer that sent the request; none if the route or the document requires no key.
     pub customer: Option<CustomerName>,
-    /// Time that it waited for a token of its customer's allowance; none where it needed none,
-    /// or had none.
+    /// Time spent waiting for a token of the customer's allowance; none if no token was needed, or
+    /// the request was refused before.
     pub token_ms: Option<u64>,
-    /// Time that it waited for tokens of limits that upstreams name; none where it needed none.
+    /// Time spent waiting for tokens of upstreams' rate limits; none if none was needed.
     pub limit_ms: Option<u64>,
-    /// Region that was to serve it.
+    /// Region selected to serve the request.
     pub region: RegionName,
-    /// Hash of its object; none where it is about none. The object itself may say who
-    /// the caller is.
+    /// Hash of the request's object; none if it has none. The object itself is not logged because
+    /// it may identify the caller.
     pub object: Option<u64>,
-    /// Upstream that it was last sent to; empty where it was sent to none.
+    /// Upstream of the last send; empty if the request was not sent.
     pub upstream: UpstreamId,
-    /// Place of that upstream among the object's homes.
+    /// Rank of the upstream in the object's order of preference.
     pub rank: usize,
-    /// Load that it was believed to have.
+    /// Estimated load of the upstream.
     pub load: f64,
-    /// Age of its own report of load, where it had reported any.
+    /// Age of the upstream's last load report; none if it has reported none.
     pub load_age_ms: Option<u64>,
-    /// Whether it was believed to be cold.
+    /// Whether the upstream was considered to be warming up.
     pub cold: bool,
-    /// Time that its answer was expected to take.
+    /// Expected time until the answer, in milliseconds.
     pub expected_ms: u64,
-    /// Probability that its object was believed to be held there.
+    /// Estimated probability that the upstream holds the object.
     pub held: f64,
-    /// Times as long as usual that the upstream was believed to take.
+    /// Estimated response time of the upstream as a multiple of the usual one.
     pub speed: f64,
-    /// What sending it there was expected to be worth.
+    /// Expected value of sending the request to the upstream.
     pub worth: f64,
-    /// Sends so far.
+    /// Number of sends.
     pub sends: usize,
-    /// Upstreams that were passed over for what they have said, at the last choice.
+    /// Upstreams skipped in the last selection because of what they declared about themselves.
     pub passed_over: Vec<UpstreamId>,
-    /// What it is known by, where others like it have ended upstreams.
+    /// Key of the request; none unless similar requests have crashed upstreams.
     pub work: Option<WorkKey>,
-    /// Wait at the emptiest of the object's homes, where all were too full.
+    /// Wait at the least loaded of the object's preferred upstreams, in milliseconds, if all were
+    /// full.
     pub least_wait_ms: Option<u64>,
 }
 
 impl Trail {
-    /// Of a request that nothing was decided on yet.
+    /// A record before any routing decision.
     pub fn new(head: &Head) -> Self {
         Trail {
             id: head.id.clone(),
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Notes a choice.
+    /// Records the selected upstream.
     pub fn chose(&mut self, choice: &Choice) {
         self.upstream.clone_from(&choice.upstream.report.id);
         self.rank = choice.rank;
@@ -143,7 +145,7 @@
         self.passed_over.clone_from(&choice.passed_over);
     }
 
-    /// Notes that no upstream could be chosen.
+    /// Records that no upstream could be selected.
     pub fn unchosen(&mut self, unchosen: &Unchosen) {
         if let Refusal::NotRun {
             cause: Cause::NoRoom,
@@ -155,12 +157,12 @@
         self.passed_over.clone_from(&unchosen.passed_over);
     }
 
-    /// The upstreams passed over, for the line; none where there were none.
+    /// Skipped upstreams as logged; none if there were none.
     fn passed_over(&self) -> Option<String> {
         (!self.passed_over.is_empty()).then(|| self.passed_over.join(","))
     }
 
-    /// Writes the line of an answered or refused request, and counts it.
+    /// Logs and counts a request that was answered or refused.
     pub fn end(&mut self, head: &Head, answered: &Result<Response<Body>, Refusal>) {
         self.ended = true;
         let outcome = outcome(answered);
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Counts the request; the time since it came.
+    /// Counts the request. Returns the time since it arrived.
     fn count(&self, outcome: &'static str) -> Duration {
         metrics::counter!("stagedeck_requests_total", "outcome" => outcome).increment(1);
         clock::elapsed(self.arrived)
@@ -213,7 +215,7 @@
     }
 }
 
-/// Two digits are enough for a reader.
+/// Rounds to two decimal places, which are enough for the log.
 fn round(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
