--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -162,7 +162,8 @@
                 beliefs.store_answered(now, usual_silence);
             }
             Some(_) => {
-                self.outage.go_on(pause_most(self.common.bounds().contact));
+                self.outage
+                    .go_on(pause_most(self.common.bounds().reconnect_time));
                 beliefs.store_failed();
             }
         }
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -229,8 +229,8 @@
 /// Shortest time within which changes of a feed must be applied.
 pub(super) fn tightest(feed: Feed, bounds: &Bounds) -> Duration {
     match feed {
-        Feed::Routes => bounds.apply,
-        Feed::Upstreams => bounds.drain,
+        Feed::Routes => bounds.document_apply_time,
+        Feed::Upstreams => bounds.drain_time,
         Feed::Hosts => HOSTS_WITHIN,
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -16,14 +16,14 @@
 
 use crate::allowances::Allowances;
 use crate::control;
-use crate::dialect::Dialect;
 use crate::limits::LimitCalls;
 use crate::settings::{Bounds, GatewaySettings};
 use crate::suspects::SharedSuspects;
 use crate::traffic;
+use crate::wire_format::WireFormat;
 
 /// Creates the client of the store, on the thread that uses it.
-pub type MakeRecords = Box<dyn FnOnce() -> Box<dyn Records> + Send>;
+pub type RecordsFactory = Box<dyn FnOnce() -> Box<dyn Records> + Send>;
 
 /// Renders the process's metrics as text.
 pub type RenderMetrics = fn() -> String;
@@ -138,8 +138,8 @@
     /// The host can't listen on an address, or a thread can't be started.
     pub fn start(
         mut settings: GatewaySettings,
-        dialect: Arc<dyn Dialect>,
-        records: MakeRecords,
+        wire_format: Arc<dyn WireFormat>,
+        records: RecordsFactory,
         render_metrics: RenderMetrics,
     ) -> Result<GatewayHost, GatewayError> {
         let sockets = Sockets::bind(&settings)?;
@@ -176,7 +176,7 @@
             control::run(shared, peers, records(), incoming).await;
         })?;
         let traffic = spawn("traffic", move || async move {
-            traffic::run(common, sockets, dialect, render_metrics).await;
+            traffic::run(common, sockets, wire_format, render_metrics).await;
         })?;
         Ok(GatewayHost {
             settings,
@@ -209,7 +209,7 @@
         tracing::info!(event = "leaving", host = self.settings.host);
         // Both threads may have ended already, so that nobody receives the stage.
         let _ = self.stage.send(Stage::Leaving { since });
-        let end = since + self.bounds.load().grace.saturating_sub(END_BEFORE);
+        let end = since + self.bounds.load().grace_period.saturating_sub(END_BEFORE);
         wait(&self.traffic, end);
         let _ = self.stage.send(Stage::Ended);
         wait(&self.control, end);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod allowances;
 mod control;
-mod dialect;
 mod host;
 mod limits;
 mod settings;
 mod suspects;
 mod traffic;
+mod wire_format;
 
-pub use dialect::{Dialect, HeaderNames, LoadNote, LookUp};
-pub use host::{GatewayError, GatewayHost, MakeRecords, RenderMetrics};
+pub use host::{GatewayError, GatewayHost, RecordsFactory, RenderMetrics};
 pub use settings::{Bounds, GatewaySettings};
+pub use wire_format::{HeaderNames, HostLookup, ReportedLoad, WireFormat};
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -47,31 +47,31 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Time from the signal to stop until the host ends.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Time within which a draining upstream stops receiving requests.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// Time within which a new document is in force on every host.
-    pub apply: Duration,
+    pub document_apply_time: Duration,
     /// Time within which a host that was cut off is in contact again.
-    pub contact: Duration,
+    pub reconnect_time: Duration,
     /// Retries per request to a service, over all hosts.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Time window over which retries are counted.
-    pub repeat_window: Duration,
+    pub retry_window: Duration,
     /// Additional retries in a window, over all hosts.
-    pub repeat_spare: f64,
+    pub retry_slack: f64,
     /// Rate of requests to an upstream that is warming up, as a multiple of the rate that it can
     /// serve.
-    pub cold_times: f64,
+    pub warm_up_overage: f64,
     /// Additional requests per second to an upstream that is warming up.
-    pub cold_spare: f64,
+    pub warm_up_slack: f64,
     /// How closely customers' allowances are enforced.
     pub allowances: AllowanceTerms,
     /// Longest time for which the answer to a host lookup may be valid.
-    pub look_up_ttl_most: Duration,
+    pub max_lookup_ttl: Duration,
     /// Largest fraction of a region's requests that may move to another region from one 2 s window
     /// to the next.
-    pub shift_most: f64,
+    pub max_region_shift: f64,
 }
 
 impl GatewaySettings {
@@ -111,18 +111,18 @@
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            grace: Duration::from_secs(6),
-            drain: Duration::from_secs(2),
-            apply: Duration::from_secs(2),
-            contact: Duration::from_secs(6),
-            repeat_ratio: 0.1,
-            repeat_window: Duration::from_secs(10),
-            repeat_spare: 10.0,
-            cold_times: 1.0,
-            cold_spare: 0.0,
+            grace_period: Duration::from_secs(6),
+            drain_time: Duration::from_secs(2),
+            document_apply_time: Duration::from_secs(2),
+            reconnect_time: Duration::from_secs(6),
+            retry_ratio: 0.1,
+            retry_window: Duration::from_secs(10),
+            retry_slack: 10.0,
+            warm_up_overage: 1.0,
+            warm_up_slack: 0.0,
             allowances: AllowanceTerms::default(),
-            look_up_ttl_most: Duration::from_secs(5),
-            shift_most: 0.15,
+            max_lookup_ttl: Duration::from_secs(5),
+            max_region_shift: 0.15,
         }
     }
 }
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -13,8 +13,8 @@
 use super::Traffic;
 use super::answers::{Cause, Refusal};
 use super::head::{Head, credentials};
+use super::request_log::RequestLog;
 use super::run::Run;
-use super::trail::Trail;
 use crate::allowances::Beyond;
 
 /// Largest body that is kept in memory so that it can be sent again.
@@ -24,17 +24,17 @@
 
 /// Answers a caller's request.
 pub(super) async fn answer(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Response<Body> {
-    let head = Head::read(&request, traffic.dialect.headers(), clock::now());
-    let mut trail = Trail::new(&head);
-    let answered = route_and_run(traffic, &head, &mut trail, request).await;
-    trail.end(&head, &answered);
+    let head = Head::read(&request, traffic.wire_format.headers(), clock::now());
+    let mut request_log = RequestLog::new(&head);
+    let answered = route_and_run(traffic, &head, &mut request_log, request).await;
+    request_log.end(&head, &answered);
     answered.unwrap_or_else(Refusal::answer)
 }
 
 async fn route_and_run(
     traffic: &Arc<Traffic>,
     head: &Head,
-    trail: &mut Trail,
+    request_log: &mut RequestLog,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = request.into_parts();
@@ -42,9 +42,9 @@
         route,
         sender,
         limits,
-    } = find(traffic, head, trail, &parts.headers, parts.uri.path())?;
+    } = find(traffic, head, request_log, &parts.headers, parts.uri.path())?;
     let body = read(body, limits).await?;
-    admit(traffic, &sender, trail).await?;
+    admit(traffic, &sender, request_log).await?;
     let deadline = match route.timeout {
         Some(timeout) => head.deadline.min(head.arrived + timeout),
         None => head.deadline,
@@ -66,7 +66,7 @@
         turned_away: 0,
         traffic,
         head,
-        trail,
+        request_log,
         route: &route,
         sender: &sender,
         parts,
@@ -88,13 +88,17 @@
 }
 
 /// Takes a token of the customer's allowance, if the sender has one.
-async fn admit(traffic: &Traffic, sender: &Sender, trail: &mut Trail) -> Result<(), Refusal> {
+async fn admit(
+    traffic: &Traffic,
+    sender: &Sender,
+    request_log: &mut RequestLog,
+) -> Result<(), Refusal> {
     let Some(customer) = sender.bounded() else {
         return Ok(());
     };
     let begun = clock::now();
     let admitted = traffic.common.allowances.admit(customer).await;
-    trail.token_ms = Some(clock::elapsed(begun).as_millis() as u64);
+    request_log.token_ms = Some(clock::elapsed(begun).as_millis() as u64);
     admitted.map_err(|beyond| match beyond {
         Beyond::Used(come_back) => Refusal::BeyondAllowance { come_back },
         Beyond::Unheard(come_back) => Refusal::NotRun {
@@ -119,7 +123,7 @@
 fn find(
     traffic: &Traffic,
     head: &Head,
-    trail: &mut Trail,
+    request_log: &mut RequestLog,
     headers: &HeaderMap,
     path: &str,
 ) -> Result<Found, Refusal> {
@@ -130,10 +134,10 @@
             come_back: NO_DOCUMENT_WAIT,
         });
     }
-    trail.version = view.version;
+    request_log.version = view.version;
     let route = view.table.find(&head.domain, path);
     let route = route.ok_or_else(|| unknown(traffic, Refusal::NoRoute))?;
-    trail.route.clone_from(&route.name);
+    request_log.route.clone_from(&route.name);
     let sender = view
         .customers
         .recognise(route.public, || credentials(headers));
@@ -141,7 +145,7 @@
         NoAccess::UnknownKey => unknown(traffic, Refusal::NoAccess),
         NoAccess::Ambiguous => Refusal::BadRequest(StatusCode::BAD_REQUEST),
     })?;
-    trail.customer = sender.customer().map(|customer| customer.name.clone());
+    request_log.customer = sender.customer().map(|customer| customer.name.clone());
     Ok(Found {
         route: Arc::clone(route),
         sender,
@@ -154,7 +158,7 @@
 /// know which document is in force.
 fn unknown(traffic: &Traffic, refusal: Refusal) -> Refusal {
     let age = traffic.common.heard.age(clock::now());
-    match age.is_some_and(|age| age <= traffic.common.bounds().apply) {
+    match age.is_some_and(|age| age <= traffic.common.bounds().document_apply_time) {
         true => refusal,
         false => Refusal::NotRun {
             cause: Cause::OldDocument,
--- a/crates/gateway/src/traffic/head.rs
+++ b/crates/gateway/src/traffic/head.rs
@@ -6,7 +6,7 @@
 use hyper::header::{AUTHORIZATION, HOST, HeaderMap, HeaderValue};
 use steering::route::{Credentials, KeyHash};
 
-use crate::dialect::HeaderNames;
+use crate::wire_format::HeaderNames;
 
 /// Deadline of a request that states none.
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -5,8 +5,8 @@
 
 use steering::route::RouteView;
 
-use crate::dialect::LookUp;
 use crate::settings::{Bounds, GatewaySettings};
+use crate::wire_format::HostLookup;
 
 /// Most hosts in an answer.
 const HOSTS_MOST: usize = 64;
@@ -16,7 +16,7 @@
 
 /// Time for which an answer is valid.
 pub(super) fn ttl(bounds: &Bounds) -> Duration {
-    TTL.min(bounds.look_up_ttl_most)
+    TTL.min(bounds.max_lookup_ttl)
 }
 
 /// Hosts of the caller's region, or of all regions if there are none. `serving` is this host's
@@ -24,7 +24,7 @@
 pub(super) fn hosts(
     view: &RouteView,
     settings: &GatewaySettings,
-    asked: &LookUp,
+    asked: &HostLookup,
     serving: Option<SocketAddr>,
 ) -> Vec<SocketAddr> {
     let of_zone = asked
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -8,11 +8,11 @@
 mod look;
 mod look_up;
 mod operator;
+mod request_log;
 mod run;
 mod send;
 mod server;
 mod shares;
-mod trail;
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,8 +24,8 @@
 use tokio::time::sleep;
 use upstream::Connections;
 
-use crate::dialect::Dialect;
 use crate::host::{Common, RenderMetrics, Sockets, Stage};
+use crate::wire_format::WireFormat;
 use hear::Unread;
 use shares::Shares;
 
@@ -40,7 +40,7 @@
 /// State of the traffic thread.
 pub(crate) struct Traffic {
     common: Common,
-    dialect: Arc<dyn Dialect>,
+    wire_format: Arc<dyn WireFormat>,
     connections: Connections,
     render_metrics: RenderMetrics,
     shares: Mutex<Shares>,
@@ -58,7 +58,7 @@
 
     /// Time for which a leaving host accepts new connections.
     fn takes_new_for(&self) -> Duration {
-        TAKES_NEW_FOR.min(self.common.bounds().grace / 2)
+        TAKES_NEW_FOR.min(self.common.bounds().grace_period / 2)
     }
 
     fn is_leaving(&self) -> bool {
@@ -70,7 +70,7 @@
 pub(crate) async fn run(
     common: Common,
     sockets: Sockets,
-    dialect: Arc<dyn Dialect>,
+    wire_format: Arc<dyn WireFormat>,
     render_metrics: RenderMetrics,
 ) {
     let mut stage = common.stage.clone();
@@ -79,7 +79,7 @@
         connections: Connections::default(),
         unread: Unread::default(),
         open: AtomicU32::default(),
-        dialect,
+        wire_format,
         render_metrics,
         common,
     });
--- a/crates/gateway/src/traffic/trail.rs
+++ b/crates/gateway/src/traffic/request_log.rs
@@ -13,43 +13,43 @@
 use crate::suspects;
 
 /// Logs an event with the routing record of its request. The event's own fields come first.
-macro_rules! tell {
-    ($level:ident, $event:literal, $trail:expr $(, $($more:tt)+)?) => {
+macro_rules! log_request {
+    ($level:ident, $event:literal, $request_log:expr $(, $($more:tt)+)?) => {
         tracing::$level!(
             event = $event,
-            id = $trail.id,
+            id = $request_log.id,
             $($($more)+,)?
-            ms = clock::elapsed($trail.arrived).as_millis() as u64,
-            route = $trail.route,
-            customer = $trail.customer,
-            token_ms = $trail.token_ms,
-            limit_ms = $trail.limit_ms,
-            version = $trail.version,
-            service = $trail.service,
-            region = $trail.region,
-            object = $trail.object.map(|object| format!("{object:016x}")),
-            upstream = $trail.upstream,
-            rank = $trail.rank,
-            load = $trail.load,
-            load_age_ms = $trail.load_age_ms,
-            cold = $trail.cold,
-            expected_ms = $trail.expected_ms,
-            held = $trail.held,
-            speed = $trail.speed,
-            worth = $trail.worth,
-            sends = $trail.sends,
-            passed_over = $trail.passed_over(),
-            work = $trail.work.map(suspects::name)
+            ms = clock::elapsed($request_log.arrived).as_millis() as u64,
+            route = $request_log.route,
+            customer = $request_log.customer,
+            token_ms = $request_log.token_ms,
+            limit_ms = $request_log.limit_ms,
+            version = $request_log.version,
+            service = $request_log.service,
+            region = $request_log.region,
+            object = $request_log.object.map(|object| format!("{object:016x}")),
+            upstream = $request_log.upstream,
+            rank = $request_log.rank,
+            load = $request_log.load,
+            load_age_ms = $request_log.load_age_ms,
+            cold = $request_log.cold,
+            expected_ms = $request_log.expected_ms,
+            held = $request_log.held,
+            speed = $request_log.speed,
+            worth = $request_log.worth,
+            sends = $request_log.sends,
+            passed_over = $request_log.passed_over(),
+            work = $request_log.work.map(suspects::name)
         )
     };
 }
 
 /// Inputs of the last routing decision for a request, with their age or version.
 ///
-/// A record that is dropped without [`Trail::end`] is logged as a request whose caller has
+/// A record that is dropped without [`RequestLog::end`] is logged as a request whose caller has
 /// disconnected.
 #[derive(Debug)]
-pub(super) struct Trail {
+pub(super) struct RequestLog {
     id: RequestId,
     arrived: Instant,
     ended: bool,
@@ -98,10 +98,10 @@
     pub least_wait_ms: Option<u64>,
 }
 
-impl Trail {
+impl RequestLog {
     /// A record before any routing decision.
     pub fn new(head: &Head) -> Self {
-        Trail {
+        RequestLog {
             id: head.id.clone(),
             arrived: head.arrived,
             ended: false,
@@ -172,19 +172,19 @@
         match answered {
             Ok(answer) => {
                 let status = answer.status().as_u16();
-                tell!(info, "request", self, status);
+                log_request!(info, "request", self, status);
             }
             Err(Refusal::NotRun { cause, come_back }) => {
                 metrics::counter!("stagedeck_refusals_total", "cause" => cause.to_string())
                     .increment(1);
                 let come_back_ms = come_back.as_millis() as u64;
                 let least_wait_ms = self.least_wait_ms;
-                tell!(info, "request_refused", self, %cause, come_back_ms, least_wait_ms);
+                log_request!(info, "request_refused", self, %cause, come_back_ms, least_wait_ms);
             }
-            Err(Refusal::NoAccess) => tell!(info, "request_unauthorized", self),
+            Err(Refusal::NoAccess) => log_request!(info, "request_unauthorized", self),
             Err(Refusal::BeyondAllowance { come_back }) => {
                 let come_back_ms = come_back.as_millis() as u64;
-                tell!(info, "request_beyond_allowance", self, come_back_ms);
+                log_request!(info, "request_beyond_allowance", self, come_back_ms);
             }
             Err(Refusal::NoRoute) => {
                 let (id, version) = (&self.id, self.version);
@@ -195,7 +195,7 @@
                     version
                 );
             }
-            Err(_) => tell!(warn, "request_failed", self, outcome),
+            Err(_) => log_request!(warn, "request_failed", self, outcome),
         }
     }
 
@@ -206,11 +206,11 @@
     }
 }
 
-impl Drop for Trail {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         if !self.ended {
             self.count("left");
-            tell!(info, "request_left", self);
+            log_request!(info, "request_left", self);
         }
     }
 }
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -20,9 +20,9 @@
 use super::forward::NO_DOCUMENT_WAIT;
 use super::head::Head;
 use super::look::Look;
+use super::request_log::RequestLog;
 use super::send::{Sending, send};
 use super::shares::Shares;
-use super::trail::Trail;
 use crate::limits::Dry;
 
 /// Remaining time below which nothing is sent, since no answer could arrive in time.
@@ -41,7 +41,7 @@
 pub(super) struct Run<'a> {
     pub traffic: &'a Arc<Traffic>,
     pub head: &'a Head,
-    pub trail: &'a mut Trail,
+    pub request_log: &'a mut RequestLog,
     pub route: &'a Route,
     /// Who sent the request.
     pub sender: &'a Sender,
@@ -88,7 +88,7 @@
         let (admission, ends_known) = self.traffic.common.suspects.admit(self.work);
         self.ends_known = ends_known;
         if admission != Admission::Free {
-            self.trail.work = Some(self.work.request);
+            self.request_log.work = Some(self.work.request);
         }
         if let Admission::Refused(time) = admission {
             return Err(Refusal::NotRun {
@@ -98,12 +98,12 @@
         }
         let object = self.head.object.as_deref();
         let destination = Destination::find(self.traffic, self.route, self.sender, object);
-        self.trail.service.clone_from(&destination.service);
-        self.trail.region = destination.region.clone().unwrap_or_default();
-        self.trail.object = destination.own_object();
+        self.request_log.service.clone_from(&destination.service);
+        self.request_log.region = destination.region.clone().unwrap_or_default();
+        self.request_log.object = destination.own_object();
         loop {
             let choice = self.choose(&destination).map_err(|unchosen| {
-                self.trail.unchosen(&unchosen);
+                self.request_log.unchosen(&unchosen);
                 unchosen.refusal
             })?;
             let choice = match self.take_token(choice).await {
@@ -131,8 +131,8 @@
         let begun = clock::now();
         let limits = &self.traffic.common.limits;
         let token = limits.token(&choice, heard, self.urgency()).await;
-        let waited = self.trail.limit_ms.unwrap_or(0);
-        self.trail.limit_ms = Some(waited + clock::elapsed(begun).as_millis() as u64);
+        let waited = self.request_log.limit_ms.unwrap_or(0);
+        self.request_log.limit_ms = Some(waited + clock::elapsed(begun).as_millis() as u64);
         self.turned_away += u32::from(token.is_err());
         token.map(|()| Choice {
             has_token: true,
@@ -143,7 +143,7 @@
     /// Sends the request once; none if there is no answer to pass on.
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
-        self.trail.chose(choice);
+        self.request_log.chose(choice);
         self.sends.push(Sent::Not);
         let sent = self.sends.last_mut().expect("it was just pushed");
         let mut sending = Sending {
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -203,7 +203,7 @@
     upstream: &Upstream,
     sending: &mut Sending<'_>,
 ) -> Option<Request<Body>> {
-    let names = traffic.dialect.headers();
+    let names = traffic.wire_format.headers();
     let path = sending.parts.uri.path_and_query();
     let mut request = Request::new(sending.body.take()?);
     *request.method_mut() = sending.parts.method.clone();
@@ -240,7 +240,7 @@
     sending: &Sending<'_>,
     flight: Flight,
 ) -> Result<Response<Body>, Missed> {
-    let names = traffic.dialect.headers();
+    let names = traffic.wire_format.headers();
     let headers = answer.headers();
     let is_own = headers
         .get(&names.request_id)
@@ -255,8 +255,8 @@
         flight.upstream.condition().replaced();
         return Err(Missed::new(Sent::Refused, "another has the address"));
     }
-    let statement = traffic.dialect.statement(status, headers);
-    let lacks_proof = status.is_success() && !headers.contains_key(&names.proof);
+    let statement = traffic.wire_format.parse_statement(status, headers);
+    let lacks_proof = status.is_success() && !headers.contains_key(&names.signature);
     let is_own = !status.is_informational() && !lacks_proof;
     let said = Said {
         sent: flight.begun,
@@ -264,12 +264,12 @@
         is_own,
     };
     hear(&flight.upstream, &said);
-    let unread = traffic.dialect.unread(headers);
+    let unread = traffic.wire_format.unknown_statements(headers);
     traffic.unread.note(&flight.upstream.report.id, &unread);
     let load = headers.get(&names.load).and_then(|load| load.to_str().ok());
     // An upstream that asks to rest is idle and accepts nothing, so its load is meaningless.
     let load = load.filter(|_| statement.rest.is_none());
-    if let Some(load) = load.and_then(|load| traffic.dialect.load(load)) {
+    if let Some(load) = load.and_then(|load| traffic.wire_format.parse_load(load)) {
         let reporter = &flight.upstream;
         reporter.reported(clock::now(), load.running, load.waiting);
     }
--- a/crates/gateway/src/traffic/server.rs
+++ b/crates/gateway/src/traffic/server.rs
@@ -148,13 +148,13 @@
     let view = traffic.common.view.load();
     let settings = &traffic.common.settings;
     let serves = view.is_ready() && !traffic.is_leaving();
-    if traffic.dialect.is_ready_call(method, uri) {
+    if traffic.wire_format.is_readiness_check(method, uri) {
         return status(match serves {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         });
     }
-    let Some(asked) = traffic.dialect.look_up_call(method, uri) else {
+    let Some(asked) = traffic.wire_format.parse_host_lookup(method, uri) else {
         return status(StatusCode::NOT_FOUND);
     };
     let serving = serves.then_some(settings.caller_address);
@@ -163,8 +163,8 @@
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     let body = traffic
-        .dialect
-        .look_up_answer(&hosts, look_up::ttl(&traffic.common.bounds()));
+        .wire_format
+        .host_lookup_response(&hosts, look_up::ttl(&traffic.common.bounds()));
     let mut answer = Response::new(full(body));
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/gateway/src/traffic/shares.rs
+++ b/crates/gateway/src/traffic/shares.rs
@@ -99,9 +99,9 @@
 
     fn repeat_part(&mut self, service: &str, bounds: &Bounds) -> &mut RepeatPart {
         let Bounds {
-            repeat_ratio,
-            repeat_spare,
-            repeat_window,
+            retry_ratio,
+            retry_slack,
+            retry_window,
             ..
         } = *bounds;
         if !self.repeats.contains_key(service) {
@@ -109,14 +109,14 @@
                 .insert(service.to_owned(), RepeatPart::default());
         }
         let part = self.repeats.get_mut(service).expect("it is there");
-        part.set_bound(repeat_ratio, repeat_spare, repeat_window);
+        part.set_bound(retry_ratio, retry_slack, retry_window);
         part
     }
 
     /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
     /// serve.
     pub fn cold_bound(bounds: &Bounds, bears: f64) -> f64 {
-        bears * bounds.cold_times + bounds.cold_spare
+        bears * bounds.warm_up_overage + bounds.warm_up_slack
     }
 
     /// Average response time of the service; none before its first answer.
@@ -187,7 +187,7 @@
         self.forget_routes(view);
         // The step is half of the shift allowed between two 2 s windows, which leaves room for
         // random variation.
-        let step = bounds.shift_most / 2.0 / 2.0 * passed.as_secs_f64().min(2.0);
+        let step = bounds.max_region_shift / 2.0 / 2.0 * passed.as_secs_f64().min(2.0);
         for (service, spread) in &mut self.regions {
             let usual = self.usual_ms.get(service).copied().map(from_ms);
             let Some(pool) = view.services.get(service) else {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/wire_format.rs
@@ -24,7 +24,7 @@
     /// Name of the customer that sent a request, set for the upstream.
     pub customer: HeaderName,
     /// Proves that an answer comes from the upstream itself; required in every success.
-    pub proof: HeaderName,
+    pub signature: HeaderName,
     /// Present if the upstream did not run the request and will not run it.
     pub not_run: HeaderName,
     /// The upstream's load.
@@ -33,7 +33,7 @@
 
 /// Load that an upstream reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadNote {
+pub struct ReportedLoad {
     /// Number of requests in progress.
     pub running: u32,
     /// Number of requests waiting at the upstream.
@@ -42,7 +42,7 @@
 
 /// A caller's query for hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LookUp {
+pub struct HostLookup {
     /// Region of the caller; none if not stated.
     pub region: Option<RegionName>,
     /// Availability zone of the caller; none if not stated.
@@ -50,19 +50,19 @@
 }
 
 /// Translates between the wire and the types of this crate, without making decisions.
-pub trait Dialect: Send + Sync {
+pub trait WireFormat: Send + Sync {
     /// Names of the headers.
     fn headers(&self) -> &HeaderNames;
     /// Whether a call is a readiness check.
-    fn is_ready_call(&self, method: &Method, uri: &Uri) -> bool;
+    fn is_readiness_check(&self, method: &Method, uri: &Uri) -> bool;
     /// Parses a host lookup; none if the call is something else.
-    fn look_up_call(&self, method: &Method, uri: &Uri) -> Option<LookUp>;
+    fn parse_host_lookup(&self, method: &Method, uri: &Uri) -> Option<HostLookup>;
     /// JSON answer to a host lookup, valid for `ttl`.
-    fn look_up_answer(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
+    fn host_lookup_response(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
     /// Parses a load report; none if it is malformed.
-    fn load(&self, text: &str) -> Option<LoadNote>;
+    fn parse_load(&self, text: &str) -> Option<ReportedLoad>;
     /// Reads what the head of an upstream's answer declares about the upstream.
-    fn statement(&self, status: StatusCode, headers: &HeaderMap) -> Statement;
+    fn parse_statement(&self, status: StatusCode, headers: &HeaderMap) -> Statement;
     /// Header names in an answer that look like declarations of the upstream but are unknown.
-    fn unread<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
+    fn unknown_statements<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -12,7 +12,11 @@
     "src/logging.rs",
 ];
 /// What stands before an event's name.
-const STARTS: &[&str] = &["event = \"", "tell!(info, \"", "tell!(warn, \""];
+const STARTS: &[&str] = &[
+    "event = \"",
+    "log_request!(info, \"",
+    "log_request!(warn, \"",
+];
 const TABLE: &str = "### Events on the platform";
 
 fn events_of(path: &Path, events: &mut BTreeSet<String>) {
