--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -10,46 +10,46 @@
 
 /// Longest wait for a token: two round trips between distant regions. A longer wait would use up a
 /// third of the latency goal, so the caller is told to retry instead.
-const WAIT_MOST: Duration = Duration::from_millis(250);
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time after which a caller may retry at a host that can't reach a pool.
-const UNHEARD_WAIT: Duration = Duration::from_millis(800);
+const NO_ANSWER_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// Tokens that this host holds. The control thread requests more from other hosts.
 pub(crate) struct Allowances {
     leases: Mutex<TokenLeases>,
-    groups: Vec<Signals>,
+    groups: Vec<Notifications>,
 }
 
 /// Notifications for one group of customers.
 #[derive(Default)]
-struct Signals {
+struct Notifications {
     /// Notified when requests wait for tokens.
-    waited_for: Notify,
+    requests_waiting: Notify,
     /// Notified when tokens should be requested from the pool.
-    wanted: Notify,
+    refill_needed: Notify,
     /// Notified when an answer has arrived.
     answered: Notify,
 }
 
 /// Why a request may not run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Beyond {
+pub(crate) enum AllowanceError {
     /// The allowance is used up for this time.
-    Used(Duration),
+    Exhausted(Duration),
     /// No host has answered in time whether the allowance is used up; retry after this time.
-    Unheard(Duration),
+    NoAnswer(Duration),
 }
 
 /// A request that waits for a token.
 struct Waiting<'a> {
     allowances: &'a Allowances,
     customer: &'a str,
-    settled: bool,
+    is_settled: bool,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.is_settled {
             self.allowances.leases().give_up(self.customer);
         }
     }
@@ -60,7 +60,7 @@
     pub fn new() -> Self {
         Allowances {
             leases: Mutex::new(TokenLeases::new(clock::now())),
-            groups: (0..GROUPS).map(|_| Signals::default()).collect(),
+            groups: (0..GROUPS).map(|_| Notifications::default()).collect(),
         }
     }
 
@@ -69,28 +69,28 @@
         self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn signals(&self, group: TokenGroup) -> &Signals {
+    fn notifications(&self, group: TokenGroup) -> &Notifications {
         &self.groups[usize::from(group)]
     }
 
     /// Waits until requests of a group wait for tokens.
-    pub async fn waited_for(&self, group: TokenGroup) {
-        self.signals(group).waited_for.notified().await;
+    pub async fn requests_waiting(&self, group: TokenGroup) {
+        self.notifications(group).requests_waiting.notified().await;
     }
 
     /// Waits until tokens of a group should be requested from the pool.
-    pub async fn wanted(&self, group: TokenGroup) {
-        self.signals(group).wanted.notified().await;
+    pub async fn refill_needed(&self, group: TokenGroup) {
+        self.notifications(group).refill_needed.notified().await;
     }
 
     /// Signals that tokens of a group should be requested from the pool.
-    pub fn want(&self, group: TokenGroup) {
-        self.signals(group).wanted.notify_one();
+    pub fn request_refill(&self, group: TokenGroup) {
+        self.notifications(group).refill_needed.notify_one();
     }
 
     /// Signals to waiting requests that an answer has arrived.
-    pub fn answered(&self, group: TokenGroup) {
-        self.signals(group).answered.notify_waiters();
+    pub fn notify_answered(&self, group: TokenGroup) {
+        self.notifications(group).answered.notify_waiters();
     }
 
     /// Takes a token of the request's customer, which has an allowance.
@@ -98,9 +98,9 @@
     /// # Errors
     ///
     /// No token is available; the request must not run.
-    pub async fn admit(&self, customer: &Customer) -> Result<(), Beyond> {
+    pub async fn admit(&self, customer: &Customer) -> Result<(), AllowanceError> {
         let name: &CustomerName = &customer.name;
-        let signals = self.signals(group_of(name));
+        let notifications = self.notifications(group_of(name));
         let now = clock::now();
         let (taken, runs_low) = {
             let mut leases = self.leases();
@@ -108,32 +108,37 @@
             (taken, leases.runs_low(now, name))
         };
         if runs_low {
-            signals.wanted.notify_one();
+            notifications.refill_needed.notify_one();
         }
         match taken {
             Take::Taken => Ok(()),
-            Take::Dry(time) => Err(Beyond::Used(time)),
-            Take::Wait => self.wait(name, signals, now + WAIT_MOST).await,
+            Take::Dry(time) => Err(AllowanceError::Exhausted(time)),
+            Take::Wait => self.wait(name, notifications, now + TOKEN_TIMEOUT).await,
         }
     }
 
-    async fn wait(&self, customer: &str, signals: &Signals, end: Instant) -> Result<(), Beyond> {
+    async fn wait(
+        &self,
+        customer: &str,
+        notifications: &Notifications,
+        end: Instant,
+    ) -> Result<(), AllowanceError> {
         let mut waiting = Waiting {
             allowances: self,
             customer,
-            settled: false,
+            is_settled: false,
         };
         loop {
-            let answered = signals.answered.notified();
+            let answered = notifications.answered.notified();
             let taken = self.leases().again(clock::now(), customer);
-            waiting.settled = taken != Take::Wait;
+            waiting.is_settled = taken != Take::Wait;
             match taken {
                 Take::Taken => return Ok(()),
-                Take::Dry(time) => return Err(Beyond::Used(time)),
-                Take::Wait => signals.waited_for.notify_one(),
+                Take::Dry(time) => return Err(AllowanceError::Exhausted(time)),
+                Take::Wait => notifications.requests_waiting.notify_one(),
             }
             if timeout(clock::left(end), answered).await.is_err() {
-                return Err(Beyond::Unheard(UNHEARD_WAIT));
+                return Err(AllowanceError::NoAnswer(NO_ANSWER_RETRY_AFTER));
             }
         }
     }
--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -11,24 +11,24 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use super::follower::{Follower, Missing, tightest};
+use super::follower::{Follower, Missing, shortest_bound};
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
 /// Pause after the store gave an answer older than a version seen before.
-const STALE_PAUSE: Duration = Duration::from_millis(400);
+const STALE_ANSWER_DELAY: Duration = Duration::from_millis(400);
 /// Longest wait for a seed host of the settings, which may no longer exist.
-const SEED_LIMIT: Duration = Duration::from_millis(900);
+const SEED_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Result of a call to the store.
-pub(super) enum Asked {
+pub(super) enum PollOutcome {
     /// An update to send to other hosts.
-    News(News),
+    Update(News),
     /// The store answered without the wanted records. Call it again at once: waiting for the next
     /// poll would take up to half of the time within which changes must be applied.
-    Again,
+    Repeat,
     /// No update, or none that other hosts need.
-    Nothing,
+    NoUpdate,
 }
 
 impl Control {
@@ -36,68 +36,74 @@
     /// the store; otherwise polls the store and sends updates to other hosts.
     pub(super) async fn follow(self: Rc<Self>, feed: Feed) {
         if feed != Feed::Hosts {
-            self.learn_at_start(feed).await;
+            self.load_from_group(feed).await;
         }
         spawn_local(Rc::clone(&self).fill_gaps(feed));
         loop {
-            let tightest = tightest(feed, &self.common.bounds());
-            self.follower(feed, |own| own.lead.set_tightest(tightest));
-            let rests = self.follower(feed, |own| own.rests(clock::now()));
-            if !rests.is_zero() {
-                self.listen(feed, rests, Wait::Listening).await;
+            let shortest_bound = shortest_bound(feed, &self.common.bounds());
+            self.with_follower(feed, |follower| follower.lead.set_tightest(shortest_bound));
+            let delay = self.with_follower(feed, |follower| follower.delay(clock::now()));
+            if !delay.is_zero() {
+                self.wait_for_update(feed, delay, Wait::Update).await;
                 continue;
             }
-            match self.ask_in_turn(feed).await {
-                Asked::News(news) => self.tell_all(&news),
-                Asked::Again => continue,
-                Asked::Nothing => {}
+            match self.poll_in_turn(feed).await {
+                PollOutcome::Update(update) => self.send_to_all_groups(&update),
+                PollOutcome::Repeat => continue,
+                PollOutcome::NoUpdate => {}
             }
-            let pace = self.follower(feed, |own| own.lead.pace());
-            self.listen(feed, pace, Wait::Pace).await;
+            let interval = self.with_follower(feed, |follower| follower.lead.pace());
+            self.wait_for_update(feed, interval, Wait::PollInterval)
+                .await;
         }
     }
 
     /// Waits up to `most`, or until other hosts turn out to be unable to provide missing records.
-    async fn listen(&self, feed: Feed, most: Duration, wait: Wait) {
-        let gap_tried = self.follower(feed, |own| Rc::clone(&own.gap_tried));
-        let begun = clock::now();
+    async fn wait_for_update(&self, feed: Feed, max_wait: Duration, wait: Wait) {
+        let gap_tried = self.with_follower(feed, |follower| Rc::clone(&follower.gap_tried));
+        let started_at = clock::now();
         // In both cases the caller checks again whether the store has to be polled.
-        let _ = timeout(most, gap_tried.notified()).await;
-        self.follower(feed, |own| own.waited(wait, begun));
+        let _ = timeout(max_wait, gap_tried.notified()).await;
+        self.with_follower(feed, |follower| follower.record_wait(wait, started_at));
     }
 
     /// Calls the store when it is this feed's turn, unless the call is no longer needed by then.
     /// Returns the update for other hosts. The turn ends with the call.
-    async fn ask_in_turn(&self, feed: Feed) -> Asked {
+    async fn poll_in_turn(&self, feed: Feed) -> PollOutcome {
         // A starting host does not wait for a turn, so that it asks its seeds for all feeds at
         // once.
         let has_met_hosts = self.local.borrow().is_some();
-        let begun = clock::now();
+        let started_at = clock::now();
         let _turn = match has_met_hosts {
-            true => self.outage.turn().await,
+            true => self.outage.wait_for_turn().await,
             false => None,
         };
         let now = clock::now();
-        self.follower(feed, |own| own.waited(Wait::Turn, begun));
-        let (rests, tells) = self.follower(feed, |own| (own.lead.rests(now), own.lead.tells(now)));
-        if !rests.is_zero() {
-            return Asked::Nothing;
+        self.with_follower(feed, |follower| {
+            follower.record_wait(Wait::Turn, started_at)
+        });
+        let (delay, forwards) = self.with_follower(feed, |follower| {
+            (follower.lead.rests(now), follower.lead.tells(now))
+        });
+        if !delay.is_zero() {
+            return PollOutcome::NoUpdate;
         }
-        match self.ask(feed).await {
-            Asked::News(news) if !tells => {
-                self.tell_own_group(&news);
-                Asked::Nothing
+        match self.poll_store(feed).await {
+            PollOutcome::Update(update) if !forwards => {
+                self.send_to_own_group(&update);
+                PollOutcome::NoUpdate
             }
-            asked => asked,
+            outcome => outcome,
         }
     }
 
     /// Calls the store. Reads the changes since the known version, or the whole feed if no version
     /// is known.
-    pub(super) async fn ask(&self, feed: Feed) -> Asked {
-        let (version, wait) = self.follower(feed, |own| (own.version, own.lead.wait()));
+    pub(super) async fn poll_store(&self, feed: Feed) -> PollOutcome {
+        let (version, wait) =
+            self.with_follower(feed, |follower| (follower.version, follower.lead.wait()));
         // During an outage a long poll would delay detecting that the store is back.
-        let wait = if self.outage.is_on() {
+        let wait = if self.outage.is_active() {
             Duration::ZERO
         } else {
             wait
@@ -105,79 +111,81 @@
         // Other hosts do not send the shared key with the list of hosts.
         let lacks_key = feed == Feed::Hosts && self.key.borrow().is_none();
         let known = version.filter(|_| !lacks_key);
-        let begun = clock::now();
-        let called = match known {
+        let started_at = clock::now();
+        let result = match known {
             Some(after) => self.records.watch(feed, after, wait).await,
             None => self.records.read(feed).await,
         };
-        self.follower(feed, |own| own.waited(Wait::Store, begun));
-        let outcome = if called.is_ok() { "done" } else { "failed" };
+        self.with_follower(feed, |follower| {
+            follower.record_wait(Wait::Store, started_at)
+        });
+        let outcome = if result.is_ok() { "done" } else { "failed" };
         metrics::counter!("stagedeck_store_calls_total", "feed" => feed.to_string(), "outcome" => outcome)
             .increment(1);
-        self.note_call(feed, called.as_ref().err());
-        let newest = self.follower(feed, |own| own.newest);
-        match called {
+        self.record_call(feed, result.as_ref().err());
+        let newest = self.with_follower(feed, |follower| follower.newest);
+        match result {
             Ok(changes) if changes.version < newest => {
                 let version = changes.version;
                 tracing::warn!(event = "store_stale", feed = %feed, version, newest);
-                sleep(STALE_PAUSE).await;
-                Asked::Again
+                sleep(STALE_ANSWER_DELAY).await;
+                PollOutcome::Repeat
             }
             Ok(changes) => {
-                let is_waited = known.is_some() && changes.records.is_empty();
-                let as_of = answer_as_of(begun, clock::now(), wait, is_waited);
-                let news = self.asked(feed, changes, as_of);
-                self.note_asked(feed);
-                Asked::News(news)
+                let is_long_poll_result = known.is_some() && changes.records.is_empty();
+                let as_of = answer_as_of(started_at, clock::now(), wait, is_long_poll_result);
+                let update = self.apply_answer(feed, changes, as_of);
+                self.mark_requested(feed);
+                PollOutcome::Update(update)
             }
             Err(error) => {
-                self.follower(feed, |own| own.failed(begun, &error));
-                self.note_asked(feed);
+                self.with_follower(feed, |follower| follower.store_failed(started_at, &error));
+                self.mark_requested(feed);
                 if error == RecordError::HistoryGone {
                     // Reading the whole feed does not need the history.
                     let may_read = known.is_some();
                     return if may_read {
-                        Asked::Again
+                        PollOutcome::Repeat
                     } else {
-                        Asked::Nothing
+                        PollOutcome::NoUpdate
                     };
                 }
-                self.ask_seeds(feed).await;
-                Asked::Nothing
+                self.read_from_seeds(feed).await;
+                PollOutcome::NoUpdate
             }
         }
     }
 
     /// Records whether the store answered. Any answer, including an error about the history, shows
     /// that the store is available.
-    fn note_call(&self, feed: Feed, error: Option<&RecordError>) {
-        let mut beliefs = self.beliefs.borrow_mut();
+    fn record_call(&self, feed: Feed, error: Option<&RecordError>) {
+        let mut known_state = self.known_state.borrow_mut();
         match error {
             None | Some(RecordError::HistoryGone) => {
                 let now = clock::now();
-                if self.outage.end() {
-                    beliefs.roll.was_cut_off(now);
+                if self.outage.record_answer() {
+                    known_state.roll.was_cut_off(now);
                 }
-                let usual_silence = self.follower(feed, |own| own.lead.stale_after());
-                beliefs.store_answered(now, usual_silence);
+                let stale_after = self.with_follower(feed, |follower| follower.lead.stale_after());
+                known_state.store_answered(now, stale_after);
             }
             Some(_) => {
                 self.outage
-                    .go_on(pause_most(self.common.bounds().reconnect_time));
-                beliefs.store_failed();
+                    .record_failure(pause_most(self.common.bounds().reconnect_time));
+                known_state.store_failed();
             }
         }
     }
 
-    fn note_asked(&self, feed: Feed) {
+    fn mark_requested(&self, feed: Feed) {
         if feed == Feed::Hosts {
-            self.list_asked.send_replace(true);
+            self.hosts_requested.send_replace(true);
         }
     }
 
     /// Reads a feed from the seed hosts of the settings, if this host has started while the store
     /// can't be reached. Without the shared key no host sends it updates.
-    async fn ask_seeds(&self, feed: Feed) {
+    async fn read_from_seeds(&self, feed: Feed) {
         if self.local.borrow().is_some() {
             return;
         }
@@ -189,17 +197,17 @@
             most_age: None,
         };
         for seed in seeds.filter(|seed| **seed != settings.peer_address) {
-            match ask_state(*seed, query, SEED_LIMIT).await {
+            match ask_state(*seed, query, SEED_TIMEOUT).await {
                 Ok(Some(FeedState { changes, as_of }))
-                    if self.follower(feed, |own| own.newest) <= changes.version =>
+                    if self.with_follower(feed, |follower| follower.newest) <= changes.version =>
                 {
                     let version = changes.version;
                     tracing::info!(event = "learned_from_seed", feed = %feed, %seed, version);
                     let source = Source::State;
-                    self.take(feed, changes, Origin { source, as_of });
-                    self.follower(feed, |own| {
-                        own.advance(version);
-                        own.lead.filled(as_of);
+                    self.apply(feed, changes, Origin { source, as_of });
+                    self.with_follower(feed, |follower| {
+                        follower.advance(version);
+                        follower.lead.filled(as_of);
                     });
                     return;
                 }
@@ -211,54 +219,61 @@
 
     /// Answers another host's request for the state of a feed; none if this host does not have what
     /// is asked for.
-    pub(super) fn state(&self, query: StateQuery) -> Option<FeedState> {
+    pub(super) fn feed_state(&self, query: StateQuery) -> Option<FeedState> {
         let StateQuery {
             feed,
             after,
             most_age,
         } = query;
         let now = clock::now();
-        let is_too_old = |own: &mut Follower| {
-            let age = own.lead.age(now).unwrap_or(Duration::MAX);
-            most_age.is_some_and(|most| age > most)
+        let is_too_old = |follower: &mut Follower| {
+            let age = follower.lead.age(now).unwrap_or(Duration::MAX);
+            most_age.is_some_and(|max_age| age > max_age)
         };
-        let version = self.follower(feed, |own| own.version)?;
-        if self.follower(feed, is_too_old) {
+        let version = self.with_follower(feed, |follower| follower.version)?;
+        if self.with_follower(feed, is_too_old) {
             return None;
         }
         let records = match after {
-            Some(after) => self.follower(feed, |own| own.recent.after(after))?,
-            None => self.beliefs.borrow().state(now, feed),
+            Some(after) => self.with_follower(feed, |follower| follower.recent.after(after))?,
+            None => self.known_state.borrow().state(now, feed),
         };
         let changes = Changes {
             whole: after.is_none(),
             records,
             version,
         };
-        let as_of = self.follower(feed, |own| own.lead.as_of())?;
+        let as_of = self.with_follower(feed, |follower| follower.lead.as_of())?;
         Some(FeedState { changes, as_of })
     }
 
     /// Applies an answer of the store. Returns the update for other hosts.
-    fn asked(&self, feed: Feed, changes: Changes, as_of: Instant) -> News {
+    fn apply_answer(&self, feed: Feed, changes: Changes, as_of: Instant) -> News {
         let (version, whole) = (changes.version, changes.whole);
-        self.follower(feed, |own| own.answered(version, as_of));
+        self.with_follower(feed, |follower| follower.store_answered(version, as_of));
         let source = Source::Store;
-        let records = self.take(feed, changes, Origin { source, as_of });
-        let records = self.follower(feed, |own| own.keep(version, whole, records));
-        self.news(feed, version, records)
+        let records = self.apply(feed, changes, Origin { source, as_of });
+        let records = self.with_follower(feed, |follower| {
+            follower.keep_recent(version, whole, records)
+        });
+        self.build_update(feed, version, records)
     }
 
     /// Builds an update for other hosts from this host's state.
-    pub(super) fn news(&self, feed: Feed, version: FeedVersion, records: Vec<Record>) -> News {
+    pub(super) fn build_update(
+        &self,
+        feed: Feed,
+        version: FeedVersion,
+        records: Vec<Record>,
+    ) -> News {
         let now = clock::now();
-        let as_of = self.follower(feed, |own| own.lead.as_of());
-        let beliefs = self.beliefs.borrow();
+        let as_of = self.with_follower(feed, |follower| follower.lead.as_of());
+        let known_state = self.known_state.borrow();
         News {
             feed,
             version,
-            digest: beliefs.digest(feed),
-            store: beliefs.store_answers(now),
+            digest: known_state.digest(feed),
+            store: known_state.store_answers(now),
             // Updates are sent only after records were received from the store, or from a host that
             // had them from the store, so the age is known.
             as_of: as_of.unwrap_or(now),
@@ -268,69 +283,73 @@
 
     /// Applies an update from another host. If records are missing, requests them from that host,
     /// and from the store if the host does not have them.
-    pub(super) fn told(&self, from: &HostEntry, news: News) {
-        let feed = news.feed;
+    pub(super) fn receive_update(&self, from: &HostEntry, update: News) {
+        let feed = update.feed;
         let now = clock::now();
-        let at = self.follower(feed, |own| own.version);
-        let mut used = Lead::judge(at, news.version);
-        let mut taken = Vec::new();
-        let usual_silence = self.follower(feed, |own| own.lead.stale_after());
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.store_told(now, &from.name, news.store, usual_silence);
-        let dropped = beliefs.waits_no_more(now) && beliefs.expire(now);
-        drop(beliefs);
+        let version = self.with_follower(feed, |follower| follower.version);
+        let mut kind = Lead::judge(version, update.version);
+        let mut applied = Vec::new();
+        let stale_after = self.with_follower(feed, |follower| follower.lead.stale_after());
+        let mut known_state = self.known_state.borrow_mut();
+        known_state.store_reported(now, &from.name, update.store, stale_after);
+        let dropped = known_state.has_overdue_reports(now) && known_state.expire(now);
+        drop(known_state);
         if dropped {
             self.publish();
         }
-        if used == Use::Take {
+        if kind == Use::Take {
             let changes = Changes {
                 whole: false,
-                records: news.records,
-                version: news.version,
+                records: update.records,
+                version: update.version,
             };
             let origin = Origin {
                 source: Source::News,
-                as_of: news.as_of,
+                as_of: update.as_of,
             };
-            taken = self.take(feed, changes, origin);
-            match self.beliefs.borrow().digest(feed) == news.digest {
+            applied = self.apply(feed, changes, origin);
+            match self.known_state.borrow().digest(feed) == update.digest {
                 true => {
-                    taken = self.follower(feed, |own| own.keep(news.version, false, taken));
+                    applied = self.with_follower(feed, |follower| {
+                        follower.keep_recent(update.version, false, applied)
+                    });
                 }
                 false => {
-                    used = Use::Gap;
-                    self.follower(feed, |own| own.hold_back(std::mem::take(&mut taken)));
+                    kind = Use::Gap;
+                    self.with_follower(feed, |follower| {
+                        follower.hold_back(std::mem::take(&mut applied))
+                    });
                 }
             }
         }
         let missing = Missing {
-            teller: from.clone(),
-            digest: news.digest,
+            sender: from.clone(),
+            digest: update.digest,
         };
-        self.follower(feed, |own| {
-            own.told(used, news.version, news.as_of, missing);
+        self.with_follower(feed, |follower| {
+            follower.receive_update(kind, update.version, update.as_of, missing);
         });
-        if used != Use::Gap {
-            self.pass_on(&from.name, feed, taken);
+        if kind != Use::Gap {
+            self.forward_to_group(&from.name, feed, applied);
         }
     }
 
     /// Applies changes of a feed. Returns the records to pass on to other hosts.
-    pub(super) fn take(&self, feed: Feed, changes: Changes, origin: Origin) -> Vec<Record> {
+    pub(super) fn apply(&self, feed: Feed, changes: Changes, origin: Origin) -> Vec<Record> {
         let now = clock::now();
         self.take_peer_key(&changes);
-        let mut beliefs = self.beliefs.borrow_mut();
-        let news = beliefs.take(now, feed, changes, origin);
-        let heeded = |record: &Record| !matches!(record, Record::Unusable { .. });
-        let changed = news.iter().any(heeded) || beliefs.expire(now);
-        drop(beliefs);
+        let mut known_state = self.known_state.borrow_mut();
+        let passed_on = known_state.apply(now, feed, changes, origin);
+        let is_usable = |record: &Record| !matches!(record, Record::Unusable { .. });
+        let changed = passed_on.iter().any(is_usable) || known_state.expire(now);
+        drop(known_state);
         if changed {
             self.publish();
         }
-        news
+        passed_on
     }
 
-    pub(super) fn follower<T>(&self, feed: Feed, with: impl FnOnce(&mut Follower) -> T) -> T {
+    pub(super) fn with_follower<T>(&self, feed: Feed, with: impl FnOnce(&mut Follower) -> T) -> T {
         let follower = match feed {
             Feed::Routes => &self.routes,
             Feed::Upstreams => &self.upstreams,
@@ -342,9 +361,14 @@
 
 /// The earliest time at which the store's answer was valid. The store answers a long poll when
 /// there is a change, or when the wait is over.
-fn answer_as_of(begun: Instant, now: Instant, wait: Duration, is_waited: bool) -> Instant {
-    match is_waited {
-        true => now.min(begun + wait),
-        false => begun,
+fn answer_as_of(
+    started_at: Instant,
+    now: Instant,
+    wait: Duration,
+    is_long_poll_result: bool,
+) -> Instant {
+    match is_long_poll_result {
+        true => now.min(started_at + wait),
+        false => started_at,
     }
 }
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -11,22 +11,22 @@
 use store::RecordError;
 use tokio::sync::Notify;
 
-use super::heard::Heard;
+use super::feed_age::FeedAge;
 use super::origin::Source;
-use super::waits::{Wait, Waits};
+use super::waits::{LongestWait, Wait};
 use crate::settings::{Bounds, GatewaySettings};
 
 /// Longest time to wait for other hosts to provide missing records, in two requests.
-const GAP_LIMIT: Duration = HOST_ANSWER_LIMIT.saturating_mul(2);
+const GAP_TIMEOUT: Duration = HOST_ANSWER_LIMIT.saturating_mul(2);
 /// Time within which every host should know of a new host, which takes a share of common limits. A
 /// new host gets requests some seconds after its start.
-const HOSTS_WITHIN: Duration = Duration::from_secs(4);
+const HOSTS_APPLY_TIME: Duration = Duration::from_secs(4);
 
 /// Records that another host has applied and this host has not.
 #[derive(Debug, Clone)]
 pub(super) struct Missing {
     /// The other host.
-    pub teller: HostEntry,
+    pub sender: HostEntry,
     /// Digest of all records that the other host has applied.
     pub digest: FeedDigest,
 }
@@ -40,12 +40,12 @@
     /// Newest version seen. An answer with an earlier version is stale.
     pub newest: FeedVersion,
     /// Age of the feed's state, shared with the traffic thread.
-    heard: Arc<Heard>,
+    age: Arc<FeedAge>,
     /// Waits since the feed's state was last renewed.
-    waits: Waits,
+    longest_wait: LongestWait,
     /// Start of the first call that failed since the store was last heard from, directly or through
     /// another host; none if no call failed.
-    lost_since: Option<Instant>,
+    store_lost_since: Option<Instant>,
     pub lead: Lead,
     /// Recently applied records, for hosts that lack some of them.
     pub recent: Recent,
@@ -62,44 +62,44 @@
     is_filling: bool,
     /// Whether records were missing after the last update. If records are still missing after the
     /// next one, the whole feed is read again.
-    lacks: bool,
+    had_gap: bool,
 }
 
 impl Follower {
-    pub fn new(feed: Feed, settings: &GatewaySettings, heard: Arc<Heard>) -> Self {
+    pub fn new(feed: Feed, settings: &GatewaySettings, age: Arc<FeedAge>) -> Self {
         Follower {
             feed,
             version: None,
             newest: 0,
-            heard,
-            waits: Waits::default(),
-            lost_since: None,
+            age,
+            longest_wait: LongestWait::default(),
+            store_lost_since: None,
             recent: Recent::default(),
             held_back: Vec::new(),
             missing: None,
             lead: Lead::new(
                 &settings.host,
                 &feed.to_string(),
-                tightest(feed, &settings.bounds),
+                shortest_bound(feed, &settings.bounds),
             ),
             gap: Rc::default(),
             gap_tried: Rc::default(),
             is_filling: false,
-            lacks: false,
+            had_gap: false,
         }
     }
 
-    /// Records a wait that began at `begun` and is over.
-    pub fn waited(&mut self, wait: Wait, begun: Instant) {
-        self.waits.note(wait, clock::elapsed(begun));
+    /// Records a wait that began at `started_at` and is over.
+    pub fn record_wait(&mut self, wait: Wait, started_at: Instant) {
+        self.longest_wait.record(wait, clock::elapsed(started_at));
     }
 
     /// Renews the age of the feed's state. Logs the age and the longest wait if the state had
     /// become stale.
-    fn renew(&mut self, source: Source, take: impl FnOnce(&mut Lead)) {
+    fn renew(&mut self, source: Source, renew_schedule: impl FnOnce(&mut Lead)) {
         let now = clock::now();
         let age = self.lead.age(now).unwrap_or_default();
-        let longest = self.waits.take();
+        let longest = self.longest_wait.take();
         if age > self.lead.stale_after() {
             tracing::info!(
                 event = "feed_renewed_late",
@@ -110,18 +110,18 @@
                 longest_ms = longest.map(|(_, took)| took.as_millis() as u64),
             );
         }
-        take(&mut self.lead);
+        renew_schedule(&mut self.lead);
         if let Some(as_of) = self.lead.as_of() {
-            self.heard.note(as_of);
+            self.age.record(as_of);
         }
     }
 
     /// Records an answer of the store that was valid at `as_of`.
-    pub fn answered(&mut self, version: FeedVersion, as_of: Instant) {
+    pub fn store_answered(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::Store, |lead| lead.asked(as_of));
         self.advance(version);
         self.missing = None;
-        if let Some(since) = self.lost_since.take() {
+        if let Some(since) = self.store_lost_since.take() {
             let away_ms = clock::elapsed(since).as_millis() as u64;
             tracing::info!(event = "store_regained", feed = %self.feed, away_ms);
         }
@@ -133,23 +133,28 @@
     }
 
     /// Records that the whole feed up to `version` was read from another host.
-    pub fn learned(&mut self, version: FeedVersion, as_of: Instant) {
+    pub fn loaded(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.learned(as_of));
         self.advance(version);
     }
 
     /// Records that another host has provided the missing records up to `version`.
-    pub fn filled(&mut self, version: FeedVersion, as_of: Instant) {
+    pub fn gap_filled(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.filled(as_of));
         self.advance(version);
-        self.lacks = false;
+        self.had_gap = false;
     }
 
     /// Keeps applied records for other hosts, together with those held back. `whole` says that they
     /// replace the whole feed. Returns the records to pass on.
-    pub fn keep(&mut self, version: FeedVersion, whole: bool, taken: Vec<Record>) -> Vec<Record> {
+    pub fn keep_recent(
+        &mut self,
+        version: FeedVersion,
+        whole: bool,
+        applied: Vec<Record>,
+    ) -> Vec<Record> {
         let mut records = std::mem::take(&mut self.held_back);
-        records.extend(taken);
+        records.extend(applied);
         match whole {
             true => self.recent.restart(version),
             false => self.recent.take(version, &records),
@@ -158,8 +163,8 @@
     }
 
     /// Holds records back while earlier ones are missing.
-    pub fn hold_back(&mut self, taken: Vec<Record>) {
-        self.held_back.extend(taken);
+    pub fn hold_back(&mut self, applied: Vec<Record>) {
+        self.held_back.extend(applied);
     }
 
     /// Takes the missing records to request. The request counts as in progress until
@@ -178,31 +183,41 @@
 
     /// Time for which this host need not poll the store, because other hosts send updates or may
     /// still provide missing records.
-    pub fn rests(&self, now: Instant) -> Duration {
+    pub fn delay(&self, now: Instant) -> Duration {
         let may_be_filled = self.is_filling || self.missing.is_some();
         match may_be_filled {
-            true => self.lead.fresh_for(now).unwrap_or(GAP_LIMIT).min(GAP_LIMIT),
+            true => self
+                .lead
+                .fresh_for(now)
+                .unwrap_or(GAP_TIMEOUT)
+                .min(GAP_TIMEOUT),
             false => self.lead.rests(now),
         }
     }
 
     /// Records an update up to `version` from another host. `missing` describes what to request if
     /// there is a gap.
-    pub fn told(&mut self, used: Use, version: FeedVersion, as_of: Instant, missing: Missing) {
+    pub fn receive_update(
+        &mut self,
+        kind: Use,
+        version: FeedVersion,
+        as_of: Instant,
+        missing: Missing,
+    ) {
         // The sender of the update reaches the store.
-        self.lost_since = None;
-        let from = &missing.teller.name;
-        match used {
-            Use::Known => self.renew(Source::News, |lead| lead.told(from, used, as_of)),
+        self.store_lost_since = None;
+        let from = &missing.sender.name;
+        match kind {
+            Use::Known => self.renew(Source::News, |lead| lead.told(from, kind, as_of)),
             Use::Take => {
-                self.renew(Source::News, |lead| lead.told(from, used, as_of));
+                self.renew(Source::News, |lead| lead.told(from, kind, as_of));
                 self.advance(version);
-                self.lacks = false;
+                self.had_gap = false;
             }
             Use::Gap => {
-                self.lead.told(from, used, as_of);
-                tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.lacks);
-                if std::mem::replace(&mut self.lacks, true) {
+                self.lead.told(from, kind, as_of);
+                tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.had_gap);
+                if std::mem::replace(&mut self.had_gap, true) {
                     self.version = None;
                 }
                 self.missing = Some(missing);
@@ -211,26 +226,26 @@
         }
     }
 
-    /// Records a failed call to the store that began at `begun`.
-    pub fn failed(&mut self, begun: Instant, error: &RecordError) {
+    /// Records a failed call to the store that began at `started_at`.
+    pub fn store_failed(&mut self, started_at: Instant, error: &RecordError) {
         if *error == RecordError::HistoryGone {
             tracing::info!(event = "history_gone", feed = %self.feed);
             self.version = None;
             return;
         }
         self.lead.failed();
-        if self.lost_since.is_none() {
+        if self.store_lost_since.is_none() {
             tracing::warn!(event = "store_lost", feed = %self.feed, %error);
-            self.lost_since = Some(begun);
+            self.store_lost_since = Some(started_at);
         }
     }
 }
 
 /// Shortest time within which changes of a feed must be applied.
-pub(super) fn tightest(feed: Feed, bounds: &Bounds) -> Duration {
+pub(super) fn shortest_bound(feed: Feed, bounds: &Bounds) -> Duration {
     match feed {
         Feed::Routes => bounds.document_apply_time,
         Feed::Upstreams => bounds.drain_time,
-        Feed::Hosts => HOSTS_WITHIN,
+        Feed::Hosts => HOSTS_APPLY_TIME,
     }
 }
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -22,40 +22,40 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use super::outage::{ROW_PAUSE_MOST, pauses};
+use super::outage::{MAX_ROW_BACKOFF, backoff};
 use crate::host::Stage;
 
 const PEER_KEY_BYTES: usize = 32;
 
 /// Interval between heartbeats to a host. A host that misses three of them is no longer named to
 /// callers.
-const BEAT_EVERY: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the answer to a heartbeat. A round trip between regions takes some 80 ms, and a
 /// new session four of them.
-pub(super) const BEAT_LIMIT: Duration = Duration::from_millis(900);
+pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Delay between two heartbeats from which this process counts as having been paused: three
 /// heartbeats.
-const PAUSED: Duration = Duration::from_secs(3);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 /// Interval between comparisons of the store's list with the hosts that are alive.
-const LOOK_AT_LIST_EVERY: Duration = Duration::from_secs(10);
+const LIST_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Time over which the hosts of a first deployment start spread their first calls. A typical store
 /// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows within 0.3
 /// s, writes took over 0.8 s and 118 of them were repeated.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(1_200);
 /// Longest random pause before a host that is no seed and finds no shared key creates one. Seeds
 /// come first.
-const KEY_PAUSE_MOST: Duration = Duration::from_millis(200);
+const MAX_KEY_DELAY: Duration = Duration::from_millis(200);
 /// Most hosts of the own region that get heartbeats.
-const PARTNERS_NEAR: usize = 8;
+const MAX_TARGETS_OWN_REGION: usize = 8;
 /// Most hosts of each other region that get heartbeats.
-const PARTNERS_FAR: usize = 2;
+const MAX_TARGETS_OTHER_REGION: usize = 2;
 /// Time limit for the last heartbeat and the removal of the own row.
-const FAREWELL_LIMIT: Duration = Duration::from_secs(1);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Control {
     /// Registers this host and exchanges heartbeats and updates with others, until the task is
     /// aborted.
-    pub(super) async fn meet_hosts(self: Rc<Self>, peers: TcpListener) {
+    pub(super) async fn run_membership(self: Rc<Self>, peers: TcpListener) {
         let key = self.peer_key().await;
         let local = Local {
             host: self.me.clone(),
@@ -66,14 +66,14 @@
         };
         match tokio::net::TcpListener::from_std(peers) {
             Ok(peers) => {
-                let handler = Rc::new(Hearer(Rc::clone(&self)));
+                let handler = Rc::new(MessageHandler(Rc::clone(&self)));
                 spawn_local(PeerServer::new(local.clone(), handler).run(peers));
             }
             Err(error) => tracing::error!(event = "peers_failed", %error),
         }
-        spawn_local(Rc::clone(&self).keep_list());
+        spawn_local(Rc::clone(&self).maintain_host_list());
         self.local.replace(Some(local));
-        self.beat().await;
+        self.send_heartbeats().await;
     }
 
     /// Tells other hosts that this host is leaving, and removes its row from the store.
@@ -81,9 +81,9 @@
         self.pool.borrow_mut().close();
         let beat = self.heartbeat(true);
         let clients: Vec<Rc<PeerClient>> = self.clients.borrow().values().cloned().collect();
-        let told = join_all(clients.iter().map(|client| client.heartbeat(&beat)));
+        let heartbeats = join_all(clients.iter().map(|client| client.heartbeat(&beat)));
         let removed = self.records.remove(HOSTS_TABLE, &self.me.name);
-        let (_, removed) = futures::join!(told, timeout(FAREWELL_LIMIT, removed));
+        let (_, removed) = futures::join!(heartbeats, timeout(LEAVE_TIMEOUT, removed));
         if !matches!(removed, Ok(Ok(()))) {
             tracing::warn!(event = "own_row_not_removed");
         }
@@ -91,34 +91,34 @@
 
     /// The key shared by all hosts. The first host that finds none creates it.
     async fn peer_key(&self) -> Rc<[u8]> {
-        self.until_list_asked().await;
+        self.wait_until_hosts_requested().await;
         if !self.is_seed() && self.key.borrow().is_none() {
-            sleep(rand::rng().random_range(Duration::ZERO..KEY_PAUSE_MOST)).await;
-            self.ask(Feed::Hosts).await;
+            sleep(rand::rng().random_range(Duration::ZERO..MAX_KEY_DELAY)).await;
+            self.poll_store(Feed::Hosts).await;
         }
-        let mut pauses = pauses(ROW_PAUSE_MOST);
+        let mut backoff = backoff(MAX_ROW_BACKOFF);
         loop {
             if let Some(key) = &*self.key.borrow() {
                 return Rc::clone(key);
             }
-            self.make_key().await;
+            self.create_key().await;
             // The list contains the key that was created first, even if the answer to the own
             // attempt was lost.
-            self.ask(Feed::Hosts).await;
+            self.poll_store(Feed::Hosts).await;
             if self.key.borrow().is_none() {
-                sleep(pauses.next().unwrap_or(ROW_PAUSE_MOST)).await;
+                sleep(backoff.next().unwrap_or(MAX_ROW_BACKOFF)).await;
             }
         }
     }
 
     /// Waits until the first request for the list of hosts has completed.
-    pub(super) async fn until_list_asked(&self) {
-        let mut list_asked = self.list_asked.subscribe();
+    pub(super) async fn wait_until_hosts_requested(&self) {
+        let mut hosts_requested = self.hosts_requested.subscribe();
         // The sender lives as long as this host.
-        let _ = list_asked.wait_for(|asked| *asked).await;
+        let _ = hosts_requested.wait_for(|requested| *requested).await;
     }
 
-    async fn make_key(&self) {
+    async fn create_key(&self) {
         let mut value = vec![0; PEER_KEY_BYTES];
         rand::rng().fill(value.as_mut_slice());
         let row = OwnRow {
@@ -148,7 +148,7 @@
     }
 
     /// Waits for a random time if all hosts of the deployment start at once for the first time.
-    pub(super) async fn wait_for_turn(&self) {
+    pub(super) async fn delay_first_start(&self) {
         if self.common.settings.first_start && !self.is_seed() {
             sleep(rand::rng().random_range(Duration::ZERO..FIRST_START_SPREAD)).await;
         }
@@ -156,21 +156,21 @@
 
     /// Keeps the store's list of hosts up to date: restores this host's row if another host has
     /// removed it, and removes rows of lost hosts.
-    async fn keep_list(self: Rc<Self>) {
+    async fn maintain_host_list(self: Rc<Self>) {
         loop {
-            let is_listed = self.beliefs.borrow().roll.list().lists(&self.me);
+            let is_listed = self.known_state.borrow().roll.list().lists(&self.me);
             if !is_listed {
-                self.be_listed().await;
+                self.write_own_row().await;
             }
-            self.remove_lost().await;
-            sleep(LOOK_AT_LIST_EVERY).await;
+            self.remove_lost_hosts().await;
+            sleep(LIST_CHECK_INTERVAL).await;
         }
     }
 
     /// Writes this host's row, with retries until the store has accepted it.
-    async fn be_listed(&self) {
+    async fn write_own_row(&self) {
         let value = serde_json::to_vec(&self.me).expect("entries are valid JSON");
-        let mut pauses = pauses(ROW_PAUSE_MOST);
+        let mut backoff = backoff(MAX_ROW_BACKOFF);
         while *self.common.stage.borrow() == Stage::Serving {
             let row = OwnRow {
                 key: self.me.name.clone(),
@@ -180,16 +180,16 @@
                 Ok(()) => return,
                 Err(error) => tracing::warn!(event = "row_not_written", %error),
             }
-            sleep(pauses.next().unwrap_or(ROW_PAUSE_MOST)).await;
+            sleep(backoff.next().unwrap_or(MAX_ROW_BACKOFF)).await;
         }
     }
 
-    async fn remove_lost(&self) {
-        let partners = self.partners();
+    async fn remove_lost_hosts(&self) {
+        let heartbeat_targets = self.heartbeat_targets();
         let now = clock::now();
         let lost: Vec<HostName> = {
-            let beliefs = self.beliefs.borrow();
-            let lost = beliefs.roll.lost(now, &partners);
+            let known_state = self.known_state.borrow();
+            let lost = known_state.roll.lost(now, &heartbeat_targets);
             lost.into_iter().cloned().collect()
         };
         for name in lost {
@@ -201,47 +201,53 @@
     }
 
     /// Sends heartbeats until the task is aborted.
-    async fn beat(self: Rc<Self>) {
+    async fn send_heartbeats(self: Rc<Self>) {
         let mut last = clock::now();
         loop {
             let now = clock::now();
             let gap = now.saturating_duration_since(last);
-            if gap > PAUSED {
+            if gap > PAUSE_THRESHOLD {
                 tracing::warn!(event = "paused", ms = gap.as_millis() as u64);
-                self.beliefs.borrow_mut().roll.resume(now);
+                self.known_state.borrow_mut().roll.resume(now);
             }
             last = now;
-            let partners = self.partners();
-            self.keep_clients(&partners);
+            let heartbeat_targets = self.heartbeat_targets();
+            self.prune_clients(&heartbeat_targets);
             let beat = Rc::new(self.heartbeat(false));
-            self.compare_works_in_turn(&partners);
-            for host in &partners {
+            self.compare_work_in_turn(&heartbeat_targets);
+            for host in &heartbeat_targets {
                 // At most one heartbeat to a host is in flight.
                 if let Some(client) = self.idle_client(host) {
-                    let told = Rc::clone(&self).tell(host.name.clone(), client, beat.clone());
-                    spawn_local(told);
+                    let sending =
+                        Rc::clone(&self).send_heartbeat(host.name.clone(), client, beat.clone());
+                    spawn_local(sending);
                 }
             }
-            sleep(BEAT_EVERY).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    async fn tell(self: Rc<Self>, name: HostName, client: Rc<PeerClient>, beat: Rc<Beat>) {
+    async fn send_heartbeat(
+        self: Rc<Self>,
+        name: HostName,
+        client: Rc<PeerClient>,
+        beat: Rc<Beat>,
+    ) {
         match client.heartbeat(&beat).await {
             Ok(_) => {
                 let now = clock::now();
-                self.beliefs.borrow_mut().roll.answered(now, &name);
+                self.known_state.borrow_mut().roll.answered(now, &name);
             }
             Err(error) => tracing::debug!(event = "heartbeat_failed", host = name, %error),
         }
     }
 
     fn heartbeat(&self, leaving: bool) -> Beat {
-        self.beats.set(self.beats.get() + 1);
+        self.heartbeats_sent.set(self.heartbeats_sent.get() + 1);
         let heartbeat = Heartbeat {
             host: self.me.clone(),
             incarnation: self.incarnation,
-            sequence: self.beats.get(),
+            sequence: self.heartbeats_sent.get(),
             leaving,
             // Each host decides on its own which hosts it names to callers.
             doubts: BTreeSet::new(),
@@ -250,42 +256,46 @@
         };
         Beat {
             heartbeat,
-            revision: self.beliefs.borrow().version(),
+            revision: self.known_state.borrow().version(),
             loads: Vec::new(),
         }
     }
 
     /// Hosts that get heartbeats: all of a small deployment, otherwise some of each region, so that
     /// the cost for each host does not grow with the deployment.
-    pub(super) fn partners(&self) -> Vec<HostEntry> {
-        let beliefs = self.beliefs.borrow();
+    pub(super) fn heartbeat_targets(&self) -> Vec<HostEntry> {
+        let known_state = self.known_state.borrow();
         let mut by_region: BTreeMap<&str, Vec<&HostEntry>> = BTreeMap::new();
-        for host in beliefs.roll.known() {
+        for host in known_state.roll.known() {
             let region = self.common.settings.regions.get(&host.entry.zone);
             let region = region.map_or("", String::as_str);
             by_region.entry(region).or_default().push(&host.entry);
         }
-        let mut partners = Vec::new();
+        let mut heartbeat_targets = Vec::new();
         for (region, hosts) in by_region {
-            let near = region == self.common.settings.region;
-            let most = if near { PARTNERS_NEAR } else { PARTNERS_FAR };
+            let is_near = region == self.common.settings.region;
+            let max_targets = if is_near {
+                MAX_TARGETS_OWN_REGION
+            } else {
+                MAX_TARGETS_OTHER_REGION
+            };
             let names = hosts.iter().map(|host| host.name.as_str());
             let ranked = rendezvous::rank(&self.me.name, names);
-            let chosen = ranked.into_iter().take(most);
-            partners.extend(
+            let chosen = ranked.into_iter().take(max_targets);
+            heartbeat_targets.extend(
                 chosen
                     .filter_map(|name| hosts.iter().find(|host| host.name == name))
                     .map(|host| (*host).clone()),
             );
         }
-        partners
+        heartbeat_targets
     }
 }
 
 /// Handles messages from other hosts.
-struct Hearer(Rc<Control>);
+struct MessageHandler(Rc<Control>);
 
-impl PeerHandler for Hearer {
+impl PeerHandler for MessageHandler {
     fn heartbeat(&self, beat: Beat) -> Revision {
         let Heartbeat {
             host,
@@ -294,10 +304,10 @@
             ..
         } = &beat.heartbeat;
         let now = clock::now();
-        let mut beliefs = self.0.beliefs.borrow_mut();
-        let changed = beliefs.roll.hear(now, host, *incarnation, *leaving);
-        let version = beliefs.version();
-        drop(beliefs);
+        let mut known_state = self.0.known_state.borrow_mut();
+        let changed = known_state.roll.hear(now, host, *incarnation, *leaving);
+        let version = known_state.version();
+        drop(known_state);
         if changed {
             self.0.publish();
         }
@@ -312,23 +322,25 @@
         Position::default()
     }
 
-    fn news(&self, from: &HostEntry, incarnation: Incarnation, news: News) {
+    fn news(&self, from: &HostEntry, incarnation: Incarnation, update: News) {
         let now = clock::now();
-        let mut beliefs = self.0.beliefs.borrow_mut();
-        beliefs.roll.hear(now, from, incarnation, false);
-        drop(beliefs);
-        self.0.told(from, news);
+        let mut known_state = self.0.known_state.borrow_mut();
+        known_state.roll.hear(now, from, incarnation, false);
+        drop(known_state);
+        self.0.receive_update(from, update);
     }
 
     fn asked(&self, from: &HostEntry, incarnation: Incarnation, ask: HostMessage) -> HostReply {
-        let mut beliefs = self.0.beliefs.borrow_mut();
-        beliefs.roll.hear(clock::now(), from, incarnation, false);
-        drop(beliefs);
+        let mut known_state = self.0.known_state.borrow_mut();
+        known_state
+            .roll
+            .hear(clock::now(), from, incarnation, false);
+        drop(known_state);
         match ask {
             HostMessage::Tokens(ask) => HostReply::Tokens(self.0.lend(&from.name, &ask)),
-            HostMessage::Spare(wanted) => HostReply::Tokens(self.0.spare(&wanted)),
+            HostMessage::Spare(demand) => HostReply::Tokens(self.0.lend_in_zone(&demand)),
             HostMessage::Works(news) => {
-                self.0.hear_works(&from.name, news);
+                self.0.receive_work_updates(&from.name, news);
                 HostReply::Taken
             }
             HostMessage::MissedWorks(known) => {
@@ -339,7 +351,7 @@
     }
 
     fn state(&self, query: StateQuery) -> Option<FeedState> {
-        self.0.state(query)
+        self.0.feed_state(query)
     }
 
     fn borrow(&self, _: LimitKey, _: LoanRequest) -> Option<LoanGrant> {
--- a/crates/gateway/src/control/beliefs.rs
+++ b/crates/gateway/src/control/known_state.rs
@@ -16,14 +16,14 @@
 use crate::host::Common;
 
 /// Most unreadable reports that are remembered, so that each is logged once.
-const REFUSED_MOST: usize = 1_000;
+const MAX_REFUSED_REPORTS: usize = 1_000;
 
 /// Largest difference between hosts' accounts of one recovery of the store, since messages between
 /// hosts take up to a second.
-const SAME_RETURN: Duration = Duration::from_secs(1);
+const RECOVERY_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// The control thread's state of routes, upstreams and hosts.
-pub(super) struct Beliefs {
+pub(super) struct KnownState {
     regions: BTreeMap<ZoneName, RegionName>,
     document: Arc<RouteDocument>,
     table: Arc<RouteTable>,
@@ -36,11 +36,11 @@
     /// Upstreams by service; none while they have to be computed again.
     pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
     /// Whether the upstreams' reports had been read when the last view was made.
-    upstreams_known: bool,
+    upstreams_loaded: bool,
     /// Whether other hosts have been asked which requests they refuse because of crashes.
-    pub works_known: bool,
+    pub refused_work_loaded: bool,
     /// Hosts in the last view; compared to detect changes caused by time alone.
-    named: BTreeMap<RegionName, Vec<SocketAddr>>,
+    advertised: BTreeMap<RegionName, Vec<SocketAddr>>,
     near_hosts: Option<Vec<HostName>>,
     /// Keys of unreadable reports that were logged.
     refused_reports: BTreeSet<String>,
@@ -49,9 +49,9 @@
     region: RegionName,
 }
 
-impl Beliefs {
+impl KnownState {
     pub fn new(common: &Common) -> Self {
-        Beliefs {
+        KnownState {
             regions: common.settings.regions.clone(),
             document: Arc::default(),
             table: Arc::default(),
@@ -62,9 +62,9 @@
             conditions: Conditions::default(),
             roll: Roll::new(&common.settings.host),
             pools: None,
-            upstreams_known: false,
-            works_known: false,
-            named: BTreeMap::new(),
+            upstreams_loaded: false,
+            refused_work_loaded: false,
+            advertised: BTreeMap::new(),
             near_hosts: None,
             refused_reports: BTreeSet::new(),
             sharers: None,
@@ -79,16 +79,22 @@
     }
 
     /// Records that the store answered this host.
-    pub fn store_answered(&mut self, now: Instant, usual_silence: Duration) {
-        self.store.answered(now, usual_silence);
+    pub fn store_answered(&mut self, now: Instant, stale_after: Duration) {
+        self.store.answered(now, stale_after);
         let me = self.me.clone();
-        self.note_return(&me);
+        self.record_store_recovery(&me);
     }
 
     /// Applies another host's account of the store's availability.
-    pub fn store_told(&mut self, now: Instant, from: &str, told: Answering, usual: Duration) {
-        self.store.told(now, told, usual);
-        self.note_return(from);
+    pub fn store_reported(
+        &mut self,
+        now: Instant,
+        from: &str,
+        reported: Answering,
+        stale_after: Duration,
+    ) {
+        self.store.told(now, reported, stale_after);
+        self.record_store_recovery(from);
     }
 
     /// This host's account of the store's availability, as sent to other hosts.
@@ -96,47 +102,49 @@
         self.store.tell(now)
     }
 
-    fn note_return(&mut self, seen_by: &str) {
-        let (before, back) = (self.catalog.store_back(), self.store.back());
-        match (before, back) {
+    fn record_store_recovery(&mut self, seen_by: &str) {
+        let (before, recovered) = (self.catalog.store_back(), self.store.back());
+        match (before, recovered) {
             (Some(_), None) => tracing::info!(event = "store_was_not_away", seen_by),
-            (_, Some(back)) if before.is_none_or(|before| back > before + SAME_RETURN) => {
-                let ago_ms = clock::elapsed(back).as_millis() as u64;
+            (_, Some(recovered))
+                if before.is_none_or(|before| recovered > before + RECOVERY_TOLERANCE) =>
+            {
+                let ago_ms = clock::elapsed(recovered).as_millis() as u64;
                 tracing::info!(event = "store_returned", seen_by, ago_ms);
             }
             _ => {}
         }
-        self.catalog.store_returned(back);
+        self.catalog.store_returned(recovered);
     }
 
     /// Whether reports that disappeared are still listed although the time to wait for them is
     /// over.
-    pub fn waits_no_more(&self, now: Instant) -> bool {
+    pub fn has_overdue_reports(&self, now: Instant) -> bool {
         self.catalog.waits_until(now).is_none() && self.catalog.has_vanished()
     }
 
     /// When the state changes next without an update; none if no such time is known.
-    pub fn changes_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_change(&self, now: Instant) -> Option<Instant> {
         self.catalog.waits_until(now)
     }
 
     /// Applies changes of a feed. Returns the records to pass on to other hosts, in order.
-    pub fn take(
+    pub fn apply(
         &mut self,
         now: Instant,
         feed: Feed,
         changes: Changes,
         origin: Origin,
     ) -> Vec<Record> {
-        let news = match feed {
-            Feed::Routes => self.take_routes(now, changes),
-            Feed::Upstreams => self.take_upstreams(now, &changes, origin),
-            Feed::Hosts => return self.take_hosts(now, &changes),
+        let passed_on = match feed {
+            Feed::Routes => self.apply_routes(now, changes),
+            Feed::Upstreams => self.apply_upstreams(now, &changes, origin),
+            Feed::Hosts => return self.apply_hosts(now, &changes),
         };
-        if !news.is_empty() {
+        if !passed_on.is_empty() {
             self.pools = None;
         }
-        news
+        passed_on
     }
 
     /// All current records of a feed.
@@ -165,40 +173,40 @@
         }
     }
 
-    fn take_routes(&mut self, now: Instant, changes: Changes) -> Vec<Record> {
-        let mut news = Vec::new();
+    fn apply_routes(&mut self, now: Instant, changes: Changes) -> Vec<Record> {
+        let mut passed_on = Vec::new();
         let mut evacuated = match changes.whole {
             true => BTreeSet::new(),
             false => self.evacuations.wanted.clone(),
         };
         for record in changes.records {
             match record {
-                Record::Document(document) => news.extend(self.take_document(*document)),
+                Record::Document(document) => passed_on.extend(self.apply_document(*document)),
                 Record::DocumentChange(change) => {
                     let document = change.apply(&self.document);
-                    news.extend(document.and_then(|document| self.take_document(document)));
+                    passed_on.extend(document.and_then(|document| self.apply_document(document)));
                 }
                 Record::Evacuation { zone, wanted: true } => drop(evacuated.insert(zone)),
                 Record::Evacuation { zone, .. } => drop(evacuated.remove(&zone)),
                 Record::Unusable { key, reason } => {
                     let version = self.document.version;
                     tracing::warn!(event = "document_refused", key, reason, in_force = version);
-                    news.push(Record::Unusable { key, reason });
+                    passed_on.push(Record::Unusable { key, reason });
                 }
                 _ => {}
             }
         }
-        let turned = self.evacuations.take(now, evacuated);
-        if !turned.is_empty() {
+        let changed = self.evacuations.take(now, evacuated);
+        if !changed.is_empty() {
             tracing::info!(event = "evacuations", zones = ?self.evacuations.wanted);
         }
-        news.extend(turned);
-        news
+        passed_on.extend(changed);
+        passed_on
     }
 
     /// Applies a document if it is newer than the one in force. Returns the change to pass on to
     /// other hosts.
-    fn take_document(&mut self, document: RouteDocument) -> Option<Record> {
+    fn apply_document(&mut self, document: RouteDocument) -> Option<Record> {
         let (version, before) = (document.version, self.document.version);
         if version <= before {
             return None;
@@ -212,25 +220,25 @@
         Some(Record::DocumentChange(Box::new(change)))
     }
 
-    fn take_upstreams(&mut self, now: Instant, changes: &Changes, origin: Origin) -> Vec<Record> {
+    fn apply_upstreams(&mut self, now: Instant, changes: &Changes, origin: Origin) -> Vec<Record> {
         for record in &changes.records {
             if let Record::Unusable { key, reason } = record {
                 // The upstream may write an unreadable report again with each heartbeat.
-                if self.refused_reports.len() < REFUSED_MOST
+                if self.refused_reports.len() < MAX_REFUSED_REPORTS
                     && self.refused_reports.insert(key.clone())
                 {
                     tracing::warn!(event = "report_refused", upstream = key, reason);
                 }
             }
         }
-        let taken = self.catalog.take(now, changes);
-        for change in &taken {
-            note(change, origin);
+        let applied = self.catalog.take(now, changes);
+        for change in &applied {
+            log_change(change, origin);
         }
-        taken.iter().map(Record::from).collect()
+        applied.iter().map(Record::from).collect()
     }
 
-    fn take_hosts(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
+    fn apply_hosts(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
         for record in &changes.records {
             if let Record::Unusable { key, reason } = record {
                 tracing::warn!(event = "row_refused", row = key, reason);
@@ -245,21 +253,21 @@
         if dropped {
             self.pools = None;
         }
-        let (sharers, near_hosts) = self.count(now);
-        let counted = sharers != self.sharers || near_hosts != self.near_hosts;
-        let read = self.catalog.is_read() != self.upstreams_known;
-        dropped || counted || read || self.named(now) != self.named
+        let (sharers, near_hosts) = self.sharing_hosts(now);
+        let sharers_changed = sharers != self.sharers || near_hosts != self.near_hosts;
+        let loaded = self.catalog.is_read() != self.upstreams_loaded;
+        dropped || sharers_changed || loaded || self.advertised_hosts(now) != self.advertised
     }
 
     /// Builds a view of the current state.
     pub fn view(&mut self, now: Instant) -> RouteView {
-        let named = self.named(now);
-        if named != self.named {
-            tracing::info!(event = "hosts_named", hosts = ?named);
+        let advertised = self.advertised_hosts(now);
+        if advertised != self.advertised {
+            tracing::info!(event = "hosts_named", hosts = ?advertised);
         }
-        self.named = named;
-        (self.sharers, self.near_hosts) = self.count(now);
-        self.upstreams_known = self.catalog.is_read();
+        self.advertised = advertised;
+        (self.sharers, self.near_hosts) = self.sharing_hosts(now);
+        self.upstreams_loaded = self.catalog.is_read();
         let pools = self.pools.get_or_insert_with(|| {
             let pools = RouteView::pools(
                 &self.document,
@@ -276,10 +284,10 @@
             limits: self.document.limits,
             table: Arc::clone(&self.table),
             customers: Arc::clone(&self.customers),
-            upstreams_known: self.upstreams_known,
-            works_known: self.works_known,
+            upstreams_known: self.upstreams_loaded,
+            works_known: self.refused_work_loaded,
             services: Arc::clone(pools),
-            hosts: self.named.clone(),
+            hosts: self.advertised.clone(),
             sharers: self.sharers,
             near_hosts: self.near_hosts.clone(),
         }
@@ -287,7 +295,7 @@
 
     /// The number of hosts that share limits, and the names of those in the own region; none while
     /// this host has no share of any limit.
-    fn count(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
+    fn sharing_hosts(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
         let others = self.roll.sharers(now);
         let Some(others) = others.filter(|_| self.roll.has_part(now)) else {
             return (None, None);
@@ -309,19 +317,19 @@
     }
 
     /// Caller addresses of the other hosts that callers may be sent to, by region.
-    fn named(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
-        let mut named: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
+    fn advertised_hosts(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
+        let mut advertised: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
         for host in self.roll.named(now) {
             if let Some(region) = self.regions.get(&host.entry.zone) {
-                let addresses = named.entry(region.clone()).or_default();
+                let addresses = advertised.entry(region.clone()).or_default();
                 addresses.push(host.entry.caller_address);
             }
         }
-        named
+        advertised
     }
 }
 
-fn note(change: &CatalogChange, origin: Origin) {
+fn log_change(change: &CatalogChange, origin: Origin) {
     let (source, age_ms) = (
         origin.source,
         clock::elapsed(origin.as_of).as_millis() as u64,
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -18,33 +18,34 @@
 
 /// Multiple of the time after which a feed is stale. A starting host, which could read the store
 /// instead, accepts no state from another host that is older than this.
-const STATE_AGE_MOST: u32 = 2;
+const MAX_STATE_AGE_FACTOR: u32 = 2;
 /// Pause before a host that has no state yet is asked again.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time after which a starting host reads the store itself. When all hosts start at once, passing
 /// the state on over three hosts takes less.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Control {
     /// Reads a whole feed from hosts of the own group, if there are any.
-    pub(super) async fn learn_at_start(&self, feed: Feed) {
+    pub(super) async fn load_from_group(&self, feed: Feed) {
         // After a timeout the feed is read from the store.
-        let _ = timeout(PATIENCE, self.learn(feed)).await;
+        let _ = timeout(LOAD_TIMEOUT, self.load_feed(feed)).await;
     }
 
-    async fn learn(&self, feed: Feed) {
-        self.until_list_asked().await;
-        let most_age = self.follower(feed, |own| own.lead.stale_after()) * STATE_AGE_MOST;
+    async fn load_feed(&self, feed: Feed) {
+        self.wait_until_hosts_requested().await;
+        let max_age =
+            self.with_follower(feed, |follower| follower.lead.stale_after()) * MAX_STATE_AGE_FACTOR;
         let query = StateQuery {
             feed,
             after: None,
-            most_age: Some(most_age),
+            most_age: Some(max_age),
         };
-        for elder in self.elders(feed) {
-            while let Ok(answer) = ask_state(elder.peer_address, query, HOST_ANSWER_LIMIT).await {
-                match answer.filter(|state| self.is_new(feed, state)) {
-                    Some(state) => return self.learned(feed, &elder, state),
-                    None => sleep(AGAIN_AFTER).await,
+        for host in self.hosts_to_ask(feed) {
+            while let Ok(answer) = ask_state(host.peer_address, query, HOST_ANSWER_LIMIT).await {
+                match answer.filter(|state| self.is_current(feed, state)) {
+                    Some(state) => return self.apply_loaded(feed, &host, state),
+                    None => sleep(RETRY_DELAY).await,
                 }
             }
         }
@@ -52,33 +53,33 @@
 
     /// Hosts of the group to ask, in order. Empty if the deployment is a single group: its hosts
     /// start faster when each reads the few rows itself.
-    fn elders(&self, feed: Feed) -> Vec<HostEntry> {
+    fn hosts_to_ask(&self, feed: Feed) -> Vec<HostEntry> {
         if self.is_one_group() {
             return Vec::new();
         }
         let group = self.group();
         let names = group.iter().map(|host| host.name.as_str());
-        let elders: Vec<String> = self.follower(feed, |own| {
-            let elders = own.lead.elders(names);
-            elders.into_iter().map(str::to_owned).collect()
+        let names_to_ask: Vec<String> = self.with_follower(feed, |follower| {
+            let names_to_ask = follower.lead.elders(names);
+            names_to_ask.into_iter().map(str::to_owned).collect()
         });
         let find = |name: &String| group.iter().find(|host| host.name == *name).cloned();
-        elders.iter().filter_map(find).collect()
+        names_to_ask.iter().filter_map(find).collect()
     }
 
-    fn is_new(&self, feed: Feed, state: &FeedState) -> bool {
-        self.follower(feed, |own| own.newest) <= state.changes.version
+    fn is_current(&self, feed: Feed, state: &FeedState) -> bool {
+        self.with_follower(feed, |follower| follower.newest) <= state.changes.version
     }
 
-    fn learned(&self, feed: Feed, from: &HostEntry, state: FeedState) {
+    fn apply_loaded(&self, feed: Feed, from: &HostEntry, state: FeedState) {
         let FeedState { changes, as_of } = state;
         let version = changes.version;
         tracing::info!(event = "learned_from_host", feed = %feed, from = from.name, version);
         let source = Source::State;
-        let records = self.take(feed, changes, Origin { source, as_of });
-        self.follower(feed, |own| {
-            own.learned(version, as_of);
-            own.keep(version, true, records);
+        let records = self.apply(feed, changes, Origin { source, as_of });
+        self.with_follower(feed, |follower| {
+            follower.loaded(version, as_of);
+            follower.keep_recent(version, true, records);
         });
     }
 
@@ -88,20 +89,21 @@
     /// and another feed holds the turn to call it, a host would apply no updates from other hosts
     /// for as long as the outage lasts.
     pub(super) async fn fill_gaps(self: Rc<Self>, feed: Feed) {
-        let gap = self.follower(feed, |own| Rc::clone(&own.gap));
+        let gap = self.with_follower(feed, |follower| Rc::clone(&follower.gap));
         loop {
             gap.notified().await;
-            if let Some(missing) = self.follower(feed, Follower::take_missing) {
-                self.fill(feed, &missing).await;
-                self.follower(feed, Follower::end_filling);
+            if let Some(missing) = self.with_follower(feed, Follower::take_missing) {
+                self.fill_gap(feed, &missing).await;
+                self.with_follower(feed, Follower::end_filling);
             }
         }
     }
 
     /// Requests the missing records from the host that has them.
-    async fn fill(&self, feed: Feed, missing: &Missing) {
-        let (version, reaches_store) =
-            self.follower(feed, |own| (own.version, own.lead.reaches_store()));
+    async fn fill_gap(&self, feed: Feed, missing: &Missing) {
+        let (version, reaches_store) = self.with_follower(feed, |follower| {
+            (follower.version, follower.lead.reaches_store())
+        });
         let is_filled = self.fill_after(feed, missing, version).await;
         // The whole feed is many times larger, but a host that can't reach the store has no other
         // source.
@@ -112,23 +114,25 @@
 
     /// Requests the records after a version, or the whole feed. Returns whether the gap is closed.
     async fn fill_after(&self, feed: Feed, missing: &Missing, after: Option<FeedVersion>) -> bool {
-        let Missing { teller, digest } = missing;
+        let Missing { sender, digest } = missing;
         let query = StateQuery {
             feed,
             after,
             most_age: None,
         };
-        let begun = clock::now();
-        let answer = ask_state(teller.peer_address, query, HOST_ANSWER_LIMIT).await;
-        self.follower(feed, |own| own.waited(Wait::Host, begun));
+        let started_at = clock::now();
+        let answer = ask_state(sender.peer_address, query, HOST_ANSWER_LIMIT).await;
+        self.with_follower(feed, |follower| {
+            follower.record_wait(Wait::Host, started_at)
+        });
         let state = match answer {
-            Ok(Some(state)) if self.is_new(feed, &state) => state,
+            Ok(Some(state)) if self.is_current(feed, &state) => state,
             Ok(_) => {
                 count_gap(feed, "not_told");
                 return false;
             }
             Err(error) => {
-                tracing::debug!(event = "teller_not_heard", feed = %feed, teller = teller.name, %error);
+                tracing::debug!(event = "teller_not_heard", feed = %feed, teller = sender.name, %error);
                 count_gap(feed, "not_heard");
                 return false;
             }
@@ -136,20 +140,20 @@
         let FeedState { changes, as_of } = state;
         let (version, whole) = (changes.version, changes.whole);
         let source = Source::State;
-        let records = self.take(feed, changes, Origin { source, as_of });
+        let records = self.apply(feed, changes, Origin { source, as_of });
         // The other host may have advanced since. Its next update then shows whether anything is
         // missing.
-        let is_filled = whole || self.beliefs.borrow().digest(feed) == *digest;
+        let is_filled = whole || self.known_state.borrow().digest(feed) == *digest;
         count_gap(feed, if is_filled { "filled" } else { "lacks_more" });
         if !is_filled {
-            self.follower(feed, |own| own.hold_back(records));
+            self.with_follower(feed, |follower| follower.hold_back(records));
             return false;
         }
-        let records = self.follower(feed, |own| {
-            own.filled(version, as_of);
-            own.keep(version, whole, records)
+        let records = self.with_follower(feed, |follower| {
+            follower.gap_filled(version, as_of);
+            follower.keep_recent(version, whole, records)
         });
-        self.pass_on(&teller.name, feed, records);
+        self.forward_to_group(&sender.name, feed, records);
         true
     }
 }
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -10,14 +10,14 @@
 use tokio::task::spawn_local;
 
 use super::Control;
-use crate::limits::{Dry, LimitCall};
+use crate::limits::{LimitCall, NoToken};
 
 /// Longest wait for a token: one round trip between distant regions, or several within a region.
 /// Choosing another upstream would be faster than waiting longer.
-const WAIT_MOST: Duration = Duration::from_millis(120);
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(120);
 /// Time for which an upstream is skipped when not all holders could be asked in time, since the
 /// remaining ones may have a token.
-const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Control {
     /// Answers token requests of the traffic thread until the task is aborted.
@@ -25,7 +25,7 @@
         while let Some(call) = calls.recv().await {
             let control = Rc::clone(&self);
             spawn_local(async move {
-                let token = control.token(&call.ask).await;
+                let token = control.obtain_token(&call.ask).await;
                 // The request may have been dropped.
                 let _ = call.answer.send(token);
             });
@@ -33,13 +33,13 @@
     }
 
     /// Asks the holders of a limit one after the other.
-    async fn token(&self, ask: &LimitAsk) -> Result<(), Dry> {
+    async fn obtain_token(&self, ask: &LimitAsk) -> Result<(), NoToken> {
         let start = ask.start();
-        let end = clock::now() + WAIT_MOST;
+        let deadline = clock::now() + TOKEN_TIMEOUT;
         loop {
             let now = clock::now();
-            if now >= end {
-                return Err(Dry(ASKED_AGAIN_AFTER));
+            if now >= deadline {
+                return Err(NoToken(RETRY_DELAY));
             }
             let holders = self.holders(ask);
             let names: Vec<&str> = holders.iter().map(|host| host.name.as_str()).collect();
@@ -47,11 +47,11 @@
                 let mut asks = self.limit_asks.borrow_mut();
                 asks.next(now, &start, &names, &self.me.name)
             };
-            let name = next.map_err(Dry)?;
+            let name = next.map_err(NoToken)?;
             let host = holders.iter().find(|host| host.name == name);
             let reply = match host {
                 Some(host) if host.name != self.me.name => {
-                    let left = end.saturating_duration_since(now);
+                    let left = deadline.saturating_duration_since(now);
                     self.ask_holder(host, ask, left).await
                 }
                 _ => Some(self.give_token(&self.me.name, ask, holders.len())),
@@ -112,8 +112,8 @@
     /// of all regions if its region has none. Only listed hosts hold shares: a host that others
     /// don't know of would exceed the total.
     fn holders(&self, ask: &LimitAsk) -> Vec<HostEntry> {
-        let beliefs = self.beliefs.borrow();
-        let rows = beliefs.roll.list().rows();
+        let known_state = self.known_state.borrow();
+        let rows = known_state.roll.list().rows();
         let regions = &self.common.settings.regions;
         let region = regions.get(&ask.zone);
         let is_near = |host: &&HostEntry| region.is_some() && regions.get(&host.zone) == region;
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,19 +1,19 @@
 //! The control thread: keeps the state of routes, upstreams and hosts, and publishes views of it.
 
-mod beliefs;
+mod feed_age;
 mod feeds;
 mod follower;
 mod group;
-mod heard;
 mod hosts;
+mod known_state;
 mod learn;
 mod limits;
 mod origin;
 mod outage;
-mod telling;
 mod tokens;
+mod update_sender;
 mod waits;
-mod works;
+mod work_updates;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -35,16 +35,16 @@
 
 use crate::host::{Common, Stage};
 use crate::limits::LimitCall;
-use crate::suspects::FreshNews;
-use beliefs::Beliefs;
+use crate::suspects::PendingWorkUpdate;
+pub(crate) use feed_age::FeedAge;
 use follower::Follower;
-pub(crate) use heard::Heard;
+use known_state::KnownState;
 use outage::Outage;
-use telling::Telling;
+use update_sender::UpdateSender;
 
 /// Longest interval between checks for expired state. Other hosts are treated as failed after
 /// several seconds of silence, so this interval adds little delay.
-const LOOK_AT_TIMES_EVERY: Duration = Duration::from_millis(500);
+const MAX_EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// State of the control thread.
 pub(crate) struct Control {
@@ -52,13 +52,13 @@
     records: Box<dyn Records>,
     me: HostEntry,
     incarnation: Incarnation,
-    beliefs: RefCell<Beliefs>,
+    known_state: RefCell<KnownState>,
     routes: RefCell<Follower>,
     upstreams: RefCell<Follower>,
     hosts: RefCell<Follower>,
     outage: Outage,
     /// Whether the first request for the list of hosts has completed, successfully or not.
-    list_asked: watch::Sender<bool>,
+    hosts_requested: watch::Sender<bool>,
     /// Key shared by all hosts of the deployment; none until it is known.
     key: RefCell<Option<Rc<[u8]>>>,
     /// Identity and key for connections to other hosts; none until the shared key is known.
@@ -66,17 +66,17 @@
     /// Clients of the hosts that receive heartbeats, updates or token requests.
     clients: RefCell<BTreeMap<HostName, Rc<PeerClient>>>,
     /// Updates that are being sent to other hosts.
-    telling: Telling,
+    update_sender: UpdateSender,
     /// Pools of customers' allowances that this host keeps.
     pool: RefCell<TokenPool>,
     /// Hosts of the own zone that did not answer a token request, and when they were asked.
-    silent_near: RefCell<BTreeMap<HostName, Instant>>,
+    unresponsive_zone_hosts: RefCell<BTreeMap<HostName, Instant>>,
     /// Shares of upstreams' rate limits that this host holds.
     limit_tokens: RefCell<LimitTokens>,
     /// State of this host's requests to the holders of upstreams' rate limits.
     limit_asks: RefCell<LimitAsks>,
     /// Number of heartbeats sent.
-    beats: Cell<u64>,
+    heartbeats_sent: Cell<u64>,
 }
 
 /// Messages from the traffic thread to the control thread.
@@ -84,7 +84,7 @@
     /// Requests that wait for a token of an upstream's rate limit.
     pub limit_calls: UnboundedReceiver<LimitCall>,
     /// Updates about requests that crash upstreams, for other hosts.
-    pub work_news: UnboundedReceiver<FreshNews>,
+    pub work_updates: UnboundedReceiver<PendingWorkUpdate>,
 }
 
 /// Runs until the host has stopped.
@@ -107,14 +107,14 @@
     let incarnation = rand::random();
     let may_have_lent = !common.settings.first_start;
     let control = Rc::new(Control {
-        beliefs: RefCell::new(Beliefs::new(&common)),
+        known_state: RefCell::new(KnownState::new(&common)),
         incarnation,
         pool: RefCell::new(TokenPool::new(incarnation, clock::now(), may_have_lent)),
         me,
         routes: RefCell::new(Follower::new(
             Feed::Routes,
             &common.settings,
-            Arc::clone(&common.heard),
+            Arc::clone(&common.document_age),
         )),
         upstreams: RefCell::new(Follower::new(
             Feed::Upstreams,
@@ -123,22 +123,22 @@
         )),
         hosts: RefCell::new(Follower::new(Feed::Hosts, &common.settings, Arc::default())),
         outage: Outage::default(),
-        list_asked: watch::Sender::default(),
+        hosts_requested: watch::Sender::default(),
         key: RefCell::default(),
         local: RefCell::default(),
         clients: RefCell::default(),
-        telling: Telling::default(),
-        silent_near: RefCell::default(),
+        update_sender: UpdateSender::default(),
+        unresponsive_zone_hosts: RefCell::default(),
         limit_tokens: RefCell::default(),
         limit_asks: RefCell::default(),
-        beats: Cell::default(),
+        heartbeats_sent: Cell::default(),
         records,
         common,
     });
-    spawn_local(Rc::clone(&control).look_at_times());
+    spawn_local(Rc::clone(&control).expire_periodically());
     spawn_local(Rc::clone(&control).serve_limits(incoming.limit_calls));
-    spawn_local(Rc::clone(&control).tell_works(incoming.work_news));
-    let hosts = spawn_local(Rc::clone(&control).begin(peers));
+    spawn_local(Rc::clone(&control).send_work_updates(incoming.work_updates));
+    let hosts = spawn_local(Rc::clone(&control).start(peers));
     let mut stage = control.common.stage.clone();
     let leaving = |stage: &Stage| *stage != Stage::Serving;
     if stage.wait_for(leaving).await.is_ok() {
@@ -152,20 +152,20 @@
 
 impl Control {
     /// Follows the feeds and exchanges messages with other hosts until the task is aborted.
-    async fn begin(self: Rc<Self>, peers: TcpListener) {
-        self.wait_for_turn().await;
+    async fn start(self: Rc<Self>, peers: TcpListener) {
+        self.delay_first_start().await;
         for feed in [Feed::Hosts, Feed::Routes, Feed::Upstreams] {
             spawn_local(Rc::clone(&self).follow(feed));
         }
-        self.keep_tokens();
-        let learning = Rc::clone(&self);
-        spawn_local(async move { learning.learn_works_at_start().await });
-        self.meet_hosts(peers).await;
+        self.maintain_tokens();
+        let loading = Rc::clone(&self);
+        spawn_local(async move { loading.load_refused_work().await });
+        self.run_membership(peers).await;
     }
 
     /// Publishes a view of the current state.
     fn publish(&self) {
-        let view = self.beliefs.borrow_mut().view(clock::now());
+        let view = self.known_state.borrow_mut().view(clock::now());
         let before = self.common.view.swap(view.into());
         let view = self.common.view.load();
         if before.version != view.version {
@@ -174,21 +174,21 @@
     }
 
     /// Publishes a new view when entries expire.
-    async fn look_at_times(self: Rc<Self>) {
+    async fn expire_periodically(self: Rc<Self>) {
         let mut suspensions = Suspensions::new(Instant::now(), clock::now());
         loop {
             if let Some(suspended) = suspensions.look(Instant::now(), clock::now()) {
                 self.resume(suspended);
             }
             let now = clock::now();
-            let next = self.beliefs.borrow().changes_at(now);
-            let next = next.map_or(LOOK_AT_TIMES_EVERY, |at| at - now);
-            sleep(next.min(LOOK_AT_TIMES_EVERY)).await;
-            let changed = self.beliefs.borrow_mut().expire(clock::now());
+            let next = self.known_state.borrow().next_change(now);
+            let next = next.map_or(MAX_EXPIRY_INTERVAL, |at| at - now);
+            sleep(next.min(MAX_EXPIRY_INTERVAL)).await;
+            let changed = self.known_state.borrow_mut().expire(clock::now());
             if changed {
                 self.publish();
             }
-            self.count_ages();
+            self.record_ages();
         }
     }
 
@@ -198,16 +198,16 @@
         let ms = suspended.as_millis() as u64;
         tracing::warn!(event = "suspended", ms);
         metrics::counter!("stagedeck_suspensions_total").increment(1);
-        self.beliefs.borrow_mut().roll.resume(clock::now());
+        self.known_state.borrow_mut().roll.resume(clock::now());
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            self.follower(feed, |own| own.gap_tried.notify_one());
+            self.with_follower(feed, |follower| follower.gap_tried.notify_one());
         }
     }
 
-    fn count_ages(&self) {
+    fn record_ages(&self) {
         let now = clock::now();
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            if let Some(age) = self.follower(feed, |own| own.lead.age(now)) {
+            if let Some(age) = self.with_follower(feed, |follower| follower.lead.age(now)) {
                 metrics::gauge!("stagedeck_belief_age_seconds", "feed" => feed.to_string())
                     .set(age.as_secs_f64());
             }
--- a/crates/gateway/src/control/outage.rs
+++ b/crates/gateway/src/control/outage.rs
@@ -8,18 +8,18 @@
 use tokio::time::sleep;
 
 /// Pause after the first failed call to the store, doubled after each further failure.
-const PAUSE_FIRST: Duration = Duration::from_millis(400);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 /// Longest pause between attempts to write a host's own rows, which are not urgent.
-pub(super) const ROW_PAUSE_MOST: Duration = Duration::from_millis(3_200);
+pub(super) const MAX_ROW_BACKOFF: Duration = Duration::from_millis(3_200);
 
-/// Jittered exponential backoff between failed calls to the store, at most `most`. The jitter
+/// Jittered exponential backoff between failed calls to the store, at most `max_delay`. The jitter
 /// prevents hosts that failed together from retrying together.
-pub(super) fn pauses(most: Duration) -> ExponentialBackoff {
+pub(super) fn backoff(max_delay: Duration) -> ExponentialBackoff {
     // The jitter adds up to the same amount again.
-    let most = most / 2;
-    let pauses = ExponentialBuilder::new().with_min_delay(PAUSE_FIRST.min(most));
-    let pauses = pauses.with_max_delay(most).without_max_times();
-    pauses.with_jitter().build()
+    let max_delay = max_delay / 2;
+    let backoff = ExponentialBuilder::new().with_min_delay(INITIAL_BACKOFF.min(max_delay));
+    let backoff = backoff.with_max_delay(max_delay).without_max_times();
+    backoff.with_jitter().build()
 }
 
 /// Whether the store is unavailable to this host. During an outage the feeds call the store one
@@ -31,41 +31,41 @@
 #[derive(Default)]
 pub(super) struct Outage {
     /// When the store may be called again; none if the store is available.
-    until: Cell<Option<Instant>>,
+    retry_at: Cell<Option<Instant>>,
     /// Remaining backoff; none if the store is available.
-    pauses: RefCell<Option<ExponentialBackoff>>,
+    backoff: RefCell<Option<ExponentialBackoff>>,
     turn: Mutex<()>,
 }
 
 impl Outage {
     /// Waits until a call may be made. During an outage, returns a guard that excludes calls for
     /// other feeds.
-    pub async fn turn(&self) -> Option<MutexGuard<'_, ()>> {
-        self.until.get()?;
+    pub async fn wait_for_turn(&self) -> Option<MutexGuard<'_, ()>> {
+        self.retry_at.get()?;
         let turn = self.turn.lock().await;
         // The previous call may have ended the outage.
-        let until = self.until.get()?;
-        sleep(clock::left(until)).await;
+        let retry_at = self.retry_at.get()?;
+        sleep(clock::left(retry_at)).await;
         Some(turn)
     }
 
     /// Whether the store is unavailable.
-    pub fn is_on(&self) -> bool {
-        self.until.get().is_some()
+    pub fn is_active(&self) -> bool {
+        self.retry_at.get().is_some()
     }
 
     /// Records that the store answered. Returns whether there was an outage.
-    pub fn end(&self) -> bool {
-        self.pauses.take();
-        self.until.take().is_some()
+    pub fn record_answer(&self) -> bool {
+        self.backoff.take();
+        self.retry_at.take().is_some()
     }
 
     /// Records that the store did not answer. The pause until the next call is at most
-    /// `pause_most`.
-    pub fn go_on(&self, pause_most: Duration) {
-        let mut pauses = self.pauses.borrow_mut();
-        let pauses = pauses.get_or_insert_with(|| self::pauses(pause_most));
-        let pause = pauses.next().unwrap_or(pause_most);
-        self.until.set(Some(clock::now() + pause));
+    /// `max_backoff`.
+    pub fn record_failure(&self, max_backoff: Duration) {
+        let mut backoff = self.backoff.borrow_mut();
+        let backoff = backoff.get_or_insert_with(|| self::backoff(max_backoff));
+        let delay = backoff.next().unwrap_or(max_backoff);
+        self.retry_at.set(Some(clock::now() + delay));
     }
 }
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -14,41 +14,41 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use super::beliefs::Beliefs;
-use super::group::first;
+use super::group::first_ranked;
+use super::known_state::KnownState;
 
 /// Longest wait for an answer. A new session between distant regions takes some 0.3 s.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const POOL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for a host of the own zone, where a round trip takes some 2 ms.
-const NEAR_LIMIT: Duration = Duration::from_millis(100);
+const ZONE_HOST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which a host of the own zone that did not answer is not asked again.
-const SILENT_FOR: Duration = Duration::from_secs(4);
+const UNRESPONSIVE_FOR: Duration = Duration::from_secs(4);
 /// Candidates among all hosts for keeping a group's pool; one in the own region and one in the own
 /// zone follow them. If one does not answer, the next is asked.
-const FIRST_HOSTS: usize = 2;
+const GLOBAL_POOL_HOSTS: usize = 2;
 /// Shortest interval between two requests for a group. Demand that arises meanwhile goes into one
 /// request.
-const GATHERED_FOR: Duration = Duration::from_millis(3);
+const BATCH_INTERVAL: Duration = Duration::from_millis(3);
 
 impl Control {
     /// Obtains tokens for this host from the pools of allowances, until the task is aborted.
-    pub(super) fn keep_tokens(self: &Rc<Self>) {
+    pub(super) fn maintain_tokens(self: &Rc<Self>) {
         for group in 0..GROUPS {
-            spawn_local(Rc::clone(self).keep_group(group));
+            spawn_local(Rc::clone(self).maintain_group(group));
             spawn_local(Rc::clone(self).serve_waiting(group));
         }
     }
 
-    async fn keep_group(self: Rc<Self>, group: TokenGroup) {
+    async fn maintain_group(self: Rc<Self>, group: TokenGroup) {
         let allowances = &self.common.allowances;
         loop {
-            let rest = match self.has_allowances() {
+            let delay = match self.has_allowances() {
                 true => self.step(group).await,
                 false => KEEP_ALIVE,
             };
             // The next step decides what to do, whether it was woken by time or by demand.
-            let _ = timeout(rest, allowances.wanted(group)).await;
-            sleep(GATHERED_FOR).await;
+            let _ = timeout(delay, allowances.refill_needed(group)).await;
+            sleep(BATCH_INTERVAL).await;
         }
     }
 
@@ -57,65 +57,67 @@
     async fn serve_waiting(self: Rc<Self>, group: TokenGroup) {
         let allowances = &self.common.allowances;
         loop {
-            allowances.waited_for(group).await;
+            allowances.requests_waiting(group).await;
             let waiting = allowances.leases().waiting(group);
             // If no request waits, the lease of this host's tokens may have lapsed, which only the
             // pool can renew.
-            if waiting.is_empty() || !self.ask_near(group, waiting).await {
-                allowances.want(group);
+            if waiting.is_empty() || !self.ask_zone_host(group, waiting).await {
+                allowances.request_refill(group);
             }
         }
     }
 
     /// Asks a host of the own zone for tokens. Returns whether it gave all that requests wait for.
-    async fn ask_near(&self, group: TokenGroup, waiting: Vec<(CustomerName, u32)>) -> bool {
+    async fn ask_zone_host(&self, group: TokenGroup, waiting: Vec<(CustomerName, u32)>) -> bool {
         let now = clock::now();
-        let near = self.near_host(group, now);
-        let Some(near) = near.filter(|near| near.name != self.me.name) else {
+        let zone_host = self.zone_host(group, now);
+        let Some(zone_host) = zone_host.filter(|host| host.name != self.me.name) else {
             return false;
         };
         let message = HostMessage::Spare(waiting);
-        let reply = self.ask_host(&near, &message, NEAR_LIMIT).await;
+        let reply = self.ask_host(&zone_host, &message, ZONE_HOST_TIMEOUT).await;
         let (Ok(HostReply::Tokens(TokenReply::Spared(spared))), HostMessage::Spare(waiting)) =
             (reply, message)
         else {
-            self.silent_near.borrow_mut().insert(near.name, now);
+            self.unresponsive_zone_hosts
+                .borrow_mut()
+                .insert(zone_host.name, now);
             return false;
         };
         let mut leases = self.common.allowances.leases();
-        let mut all = true;
+        let mut is_complete = true;
         for ((customer, _), spared) in waiting.iter().zip(&spared) {
-            all &= leases.take_spared(clock::now(), now, customer, spared);
+            is_complete &= leases.take_spared(clock::now(), now, customer, spared);
         }
         drop(leases);
-        self.common.allowances.answered(group);
-        all
+        self.common.allowances.notify_answered(group);
+        is_complete
     }
 
     /// The host that holds tokens for the whole own zone: the first-ranked one that has not
     /// recently failed to answer.
-    fn near_host(&self, group: TokenGroup, now: Instant) -> Option<HostEntry> {
-        let beliefs = self.beliefs.borrow();
-        let mut silent = self.silent_near.borrow_mut();
-        silent.retain(|_, at| now.saturating_duration_since(*at) < SILENT_FOR);
-        let hosts = self.listed(&beliefs);
+    fn zone_host(&self, group: TokenGroup, now: Instant) -> Option<HostEntry> {
+        let known_state = self.known_state.borrow();
+        let mut unresponsive = self.unresponsive_zone_hosts.borrow_mut();
+        unresponsive.retain(|_, at| now.saturating_duration_since(*at) < UNRESPONSIVE_FOR);
+        let hosts = self.listed(&known_state);
         let near = hosts.filter(|host| host.zone == self.me.zone);
-        let heard = near.filter(|host| !silent.contains_key(&host.name));
-        first(&format!("tokens near {group}"), heard).cloned()
+        let responsive = near.filter(|host| !unresponsive.contains_key(&host.name));
+        first_ranked(&format!("tokens near {group}"), responsive).cloned()
     }
 
     /// Gives tokens to requests that wait at another host of the zone.
-    pub(super) fn spare(&self, wanted: &[(CustomerName, u32)]) -> TokenReply {
+    pub(super) fn lend_in_zone(&self, demand: &[(CustomerName, u32)]) -> TokenReply {
         let now = clock::now();
         let mut leases = self.common.allowances.leases();
-        let mut spare = |(customer, need): &(CustomerName, u32)| {
+        let mut lend = |(customer, need): &(CustomerName, u32)| {
             let spared = leases.spare(now, customer, *need);
             if leases.runs_low(now, customer) {
-                self.common.allowances.want(group_of(customer));
+                self.common.allowances.request_refill(group_of(customer));
             }
             spared
         };
-        TokenReply::Spared(wanted.iter().map(&mut spare).collect())
+        TokenReply::Spared(demand.iter().map(&mut lend).collect())
     }
 
     /// Drops the tokens of customers that no longer exist.
@@ -134,17 +136,17 @@
         let candidates = self.pool_hosts(group);
         let ranked: Vec<&str> = candidates.iter().map(|host| host.name.as_str()).collect();
         let now = clock::now();
-        let near = self.near_host(group, now);
-        let spares = near.is_some_and(|near| near.name == self.me.name);
+        let zone_host = self.zone_host(group, now);
+        let lends_in_zone = zone_host.is_some_and(|host| host.name == self.me.name);
         let step = {
             let mut leases = self.common.allowances.leases();
-            leases.set_spares(group, spares);
+            leases.set_spares(group, lends_in_zone);
             leases.step(now, group, &ranked)
         };
         let (name, ask) = match step {
             Step::Rest(until) => {
-                let rest = until.saturating_duration_since(now);
-                return rest.clamp(GATHERED_FOR, KEEP_ALIVE);
+                let delay = until.saturating_duration_since(now);
+                return delay.clamp(BATCH_INTERVAL, KEEP_ALIVE);
             }
             Step::Ask(name, ask) => (name, ask),
         };
@@ -152,7 +154,7 @@
             Some(host) if host.name == self.me.name => Ok(self.lend(&self.me.name, &ask)),
             Some(host) => {
                 let message = HostMessage::Tokens(ask.clone());
-                match self.ask_host(host, &message, ANSWER_LIMIT).await {
+                match self.ask_host(host, &message, POOL_TIMEOUT).await {
                     Ok(HostReply::Tokens(reply)) => Ok(reply),
                     Ok(_) => Ok(TokenReply::NoPool),
                     Err(error) => Err(error),
@@ -162,7 +164,7 @@
             None => Ok(TokenReply::NoPool),
         };
         let answered = clock::now();
-        let again = match reply {
+        let is_due = match reply {
             Ok(reply) => {
                 let mut leases = self.common.allowances.leases();
                 leases.answered(answered, now, &name, &ask, &reply)
@@ -176,8 +178,8 @@
                 true
             }
         };
-        self.common.allowances.answered(group);
-        if again { GATHERED_FOR } else { KEEP_ALIVE }
+        self.common.allowances.notify_answered(group);
+        if is_due { BATCH_INTERVAL } else { KEEP_ALIVE }
     }
 
     pub(super) async fn ask_host(
@@ -191,8 +193,8 @@
         };
         let reply = timeout(within, client.ask(message)).await;
         let reply = reply.unwrap_or(Err(PeerError::Late))?;
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.roll.answered(clock::now(), &host.name);
+        let mut known_state = self.known_state.borrow_mut();
+        known_state.roll.answered(clock::now(), &host.name);
         Ok(reply)
     }
 
@@ -205,7 +207,7 @@
             Some(TokenBound::new(&allowance, &terms))
         };
         let now = clock::now();
-        let counts = from == self.me.name || self.beliefs.borrow().roll.counts(now, from);
+        let counts = from == self.me.name || self.known_state.borrow().roll.counts(now, from);
         let mut pool = self.pool.borrow_mut();
         pool.ask(now, from, counts, ask, view.sharers, &bound)
     }
@@ -213,21 +215,25 @@
     /// Hosts that may keep a group's pool, in order: some of all hosts, then the first of the own
     /// region and of the own zone in case of a network partition, and finally this host for itself.
     fn pool_hosts(&self, group: TokenGroup) -> Vec<HostEntry> {
-        let beliefs = self.beliefs.borrow();
+        let known_state = self.known_state.borrow();
         let settings = &self.common.settings;
         let key = format!("tokens {group}");
         let mut chosen: Vec<&HostEntry> = Vec::new();
-        for _ in 0..FIRST_HOSTS {
-            let rest = self.listed(&beliefs).filter(|host| !chosen.contains(host));
-            let next = first(&key, rest);
+        for _ in 0..GLOBAL_POOL_HOSTS {
+            let rest = self
+                .listed(&known_state)
+                .filter(|host| !chosen.contains(host));
+            let next = first_ranked(&key, rest);
             chosen.extend(next);
         }
-        let rest = self.listed(&beliefs).filter(|host| !chosen.contains(host));
+        let rest = self
+            .listed(&known_state)
+            .filter(|host| !chosen.contains(host));
         let of_region =
             |host: &&HostEntry| settings.regions.get(&host.zone) == Some(&settings.region);
-        let near = first(&key, rest.clone().filter(of_region));
-        let nearer = first(&key, rest.filter(|host| host.zone == self.me.zone));
-        for host in near.into_iter().chain(nearer).chain([&self.me]) {
+        let in_region = first_ranked(&key, rest.clone().filter(of_region));
+        let in_zone = first_ranked(&key, rest.filter(|host| host.zone == self.me.zone));
+        for host in in_region.into_iter().chain(in_zone).chain([&self.me]) {
             if !chosen.contains(&host) {
                 chosen.push(host);
             }
@@ -236,8 +242,11 @@
     }
 
     /// All hosts in the store's list, and this host even if it is not listed yet.
-    fn listed<'a>(&'a self, beliefs: &'a Beliefs) -> impl Iterator<Item = &'a HostEntry> + Clone {
-        let rows = beliefs.roll.list().rows();
+    fn listed<'a>(
+        &'a self,
+        known_state: &'a KnownState,
+    ) -> impl Iterator<Item = &'a HostEntry> + Clone {
+        let rows = known_state.roll.list().rows();
         let others = rows.filter(|row| row.name != self.me.name);
         others.chain([&self.me])
     }
--- a/crates/gateway/src/control/waits.rs
+++ b/crates/gateway/src/control/waits.rs
@@ -9,10 +9,10 @@
 pub(super) enum Wait {
     /// An update from another host.
     #[display("listening")]
-    Listening,
+    Update,
     /// The interval between two polls of the store.
     #[display("pace")]
-    Pace,
+    PollInterval,
     /// The calls of other feeds to an unavailable store, and the backoff after a failure.
     #[display("turn")]
     Turn,
@@ -26,13 +26,13 @@
 
 /// The longest wait since the feed's state was last renewed.
 #[derive(Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct LongestWait {
     longest: Option<(Wait, Duration)>,
 }
 
-impl Waits {
+impl LongestWait {
     /// Records a completed wait.
-    pub fn note(&mut self, wait: Wait, took: Duration) {
+    pub fn record(&mut self, wait: Wait, took: Duration) {
         if self.longest.is_none_or(|(_, longest)| took > longest) {
             self.longest = Some((wait, took));
         }
--- a/crates/gateway/src/control/works.rs
+++ b/crates/gateway/src/control/work_updates.rs
@@ -12,61 +12,64 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use crate::suspects::FreshNews;
+use crate::suspects::PendingWorkUpdate;
 
 /// Time after which a starting host serves requests without what other hosts know.
-const PATIENCE: Duration = Duration::from_secs(1);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Hosts asked at once when this host starts, those of the own region first; some of the listed
 /// ones may be gone.
-const ASKED_AT_START: usize = 3;
+const HOSTS_ASKED_AT_START: usize = 3;
 /// Pause between checks whether other hosts can be asked.
-const AGAIN_AFTER: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time over which updates are collected into one message. When an upstream crashes, all its
 /// requests in flight fail together.
-const GATHERED_FOR: Duration = Duration::from_millis(3);
+const BATCH_INTERVAL: Duration = Duration::from_millis(3);
 /// Longest wait for a host's answer. A host that misses an update asks for it later.
-const TELL_LIMIT: Duration = Duration::from_millis(500);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Control {
     /// Sends updates of this host to other hosts until the task is aborted.
-    pub(super) async fn tell_works(self: Rc<Self>, mut fresh: UnboundedReceiver<FreshNews>) {
-        while let Some(first) = fresh.recv().await {
-            sleep(GATHERED_FOR).await;
-            let mut gathered = vec![first];
-            while let Ok(next) = fresh.try_recv() {
-                gathered.push(next);
+    pub(super) async fn send_work_updates(
+        self: Rc<Self>,
+        mut pending: UnboundedReceiver<PendingWorkUpdate>,
+    ) {
+        while let Some(first) = pending.recv().await {
+            sleep(BATCH_INTERVAL).await;
+            let mut batch = vec![first];
+            while let Ok(next) = pending.try_recv() {
+                batch.push(next);
             }
-            let now = |fresh: &FreshNews| WorkNews {
-                told: fresh.news.told.later(clock::elapsed(fresh.learned)),
-                ..fresh.news
+            let current = |pending: &PendingWorkUpdate| WorkNews {
+                told: pending.news.told.later(clock::elapsed(pending.learned)),
+                ..pending.news
             };
-            self.send_works(gathered.iter().map(now).collect(), self.group());
-            let for_all = gathered.iter().filter(|fresh| fresh.for_all);
-            let for_all: Vec<WorkNews> = for_all.map(now).collect();
+            self.send_work(batch.iter().map(current).collect(), self.group());
+            let for_all = batch.iter().filter(|pending| pending.for_all);
+            let for_all: Vec<WorkNews> = for_all.map(current).collect();
             if !for_all.is_empty() {
-                self.send_works(for_all, self.firsts(Feed::Upstreams));
+                self.send_work(for_all, self.first_hosts(Feed::Upstreams));
             }
         }
     }
 
     /// Learns which requests other hosts refuse, before this host serves; the first answer is used.
-    pub(super) async fn learn_works_at_start(&self) {
+    pub(super) async fn load_refused_work(&self) {
         // After a timeout this host relies on its own observations.
-        let _ = timeout(PATIENCE, self.learn_works()).await;
-        self.beliefs.borrow_mut().works_known = true;
+        let _ = timeout(LOAD_TIMEOUT, self.ask_for_refused_work()).await;
+        self.known_state.borrow_mut().refused_work_loaded = true;
         self.publish();
     }
 
-    async fn learn_works(&self) {
-        self.until_list_asked().await;
+    async fn ask_for_refused_work(&self) {
+        self.wait_until_hosts_requested().await;
         while self.local.borrow().is_none() {
-            sleep(AGAIN_AFTER).await;
+            sleep(RETRY_DELAY).await;
         }
-        let mut hosts = self.partners();
+        let mut hosts = self.heartbeat_targets();
         let region = |host: &HostEntry| self.common.settings.regions.get(&host.zone);
         hosts.sort_by_key(|host| region(host) != Some(&self.common.settings.region));
-        let answers = hosts.iter().take(ASKED_AT_START).map(async |host| {
-            let is_answered = self.compare_works(host).await;
+        let answers = hosts.iter().take(HOSTS_ASKED_AT_START).map(async |host| {
+            let is_answered = self.compare_work(host).await;
             is_answered.then_some(()).ok_or(())
         });
         let answers: Vec<_> = answers.map(Box::pin).collect();
@@ -77,20 +80,21 @@
     }
 
     /// Asks the next of the given hosts for updates that this host may have missed.
-    pub(super) fn compare_works_in_turn(self: &Rc<Self>, partners: &[HostEntry]) {
-        if partners.is_empty() {
+    pub(super) fn compare_work_in_turn(self: &Rc<Self>, heartbeat_targets: &[HostEntry]) {
+        if heartbeat_targets.is_empty() {
             self.common.suspects.note_alone();
             return;
         }
-        let host = partners[self.beats.get() as usize % partners.len()].clone();
+        let host = heartbeat_targets[self.heartbeats_sent.get() as usize % heartbeat_targets.len()]
+            .clone();
         let control = Rc::clone(self);
-        spawn_local(async move { control.compare_works(&host).await });
+        spawn_local(async move { control.compare_work(&host).await });
     }
 
     /// Asks a host for updates that this host may have missed. Returns whether it answered.
-    async fn compare_works(&self, host: &HostEntry) -> bool {
+    async fn compare_work(&self, host: &HostEntry) -> bool {
         let message = HostMessage::MissedWorks(self.common.suspects.digest());
-        let reply = self.ask_host(host, &message, TELL_LIMIT).await;
+        let reply = self.ask_host(host, &message, SEND_TIMEOUT).await;
         let Ok(HostReply::Works(states)) = reply else {
             count("not_compared");
             return false;
@@ -101,25 +105,25 @@
     }
 
     /// Applies updates of another host, and passes those from other groups on to the own group.
-    pub(super) fn hear_works(self: &Rc<Self>, from: &HostName, news: Vec<WorkNews>) {
+    pub(super) fn receive_work_updates(self: &Rc<Self>, from: &HostName, news: Vec<WorkNews>) {
         self.common.suspects.hear(&news, from);
         let group = self.group();
         if group.iter().all(|host| host.name != *from) {
-            self.send_works(news, group);
+            self.send_work(news, group);
         }
     }
 
-    fn send_works(self: &Rc<Self>, news: Vec<WorkNews>, audience: Vec<HostEntry>) {
+    fn send_work(self: &Rc<Self>, news: Vec<WorkNews>, receivers: Vec<HostEntry>) {
         let message = Rc::new(HostMessage::Works(news));
-        let begun = clock::now();
-        for host in audience {
+        let started_at = clock::now();
+        for host in receivers {
             let (control, message) = (Rc::clone(self), Rc::clone(&message));
             spawn_local(async move {
-                let told = control.ask_host(&host, &message, TELL_LIMIT).await;
-                let outcome = if told.is_ok() { "told" } else { "not_heard" };
+                let result = control.ask_host(&host, &message, SEND_TIMEOUT).await;
+                let outcome = if result.is_ok() { "told" } else { "not_heard" };
                 count(outcome);
-                if let Err(error) = told {
-                    let ms = clock::elapsed(begun).as_millis() as u64;
+                if let Err(error) = result {
+                    let ms = clock::elapsed(started_at).as_millis() as u64;
                     tracing::debug!(event = "works_not_told", host = host.name, ms, %error);
                 }
             });
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -108,7 +108,7 @@
     pub bounds: Arc<ArcSwap<Bounds>>,
     pub view: Arc<ArcSwap<RouteView>>,
     /// Age of the document's state.
-    pub heard: Arc<control::Heard>,
+    pub document_age: Arc<control::FeedAge>,
     pub allowances: Arc<Allowances>,
     pub limits: LimitCalls,
     pub suspects: Arc<SharedSuspects>,
@@ -155,12 +155,12 @@
         let settings = Arc::new(settings);
         let (stage, watched) = watch::channel(Stage::Serving);
         let (limits, limit_calls) = LimitCalls::new();
-        let (suspects, work_news) = SharedSuspects::new(&settings.host);
+        let (suspects, work_updates) = SharedSuspects::new(&settings.host);
         let common = Common {
             settings: Arc::clone(&settings),
             bounds: Arc::new(ArcSwap::from_pointee(settings.bounds)),
             view: Arc::default(),
-            heard: Arc::default(),
+            document_age: Arc::default(),
             allowances: Arc::new(Allowances::new()),
             limits,
             suspects: Arc::new(suspects),
@@ -171,7 +171,7 @@
         let control = spawn("control", move || async move {
             let incoming = control::Incoming {
                 limit_calls,
-                work_news,
+                work_updates,
             };
             control::run(shared, peers, records(), incoming).await;
         })?;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -7,18 +7,18 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Time for which an upstream is skipped when no holder of its rate limit has answered in time.
-const UNHEARD_WAIT: Duration = Duration::from_millis(250);
+const NO_ANSWER_DELAY: Duration = Duration::from_millis(250);
 
 /// No token is available for this time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Dry(pub Duration);
+pub(crate) struct NoToken(pub Duration);
 
 /// A request that waits for a token.
 pub(crate) struct LimitCall {
     /// The token request.
     pub ask: LimitAsk,
     /// Receives the result; the receiver may have been dropped.
-    pub answer: oneshot::Sender<Result<(), Dry>>,
+    pub answer: oneshot::Sender<Result<(), NoToken>>,
 }
 
 /// Passes token requests to the control thread, which asks other hosts.
@@ -28,8 +28,8 @@
 impl LimitCalls {
     /// Creates the sender for the traffic thread and the receiver for the control thread.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<LimitCall>) {
-        let (calls, incoming) = mpsc::unbounded_channel();
-        (LimitCalls(calls), incoming)
+        let (calls, receiver) = mpsc::unbounded_channel();
+        (LimitCalls(calls), receiver)
     }
 
     /// Requests a token for sending to the chosen upstream.
@@ -37,34 +37,39 @@
     /// # Errors
     ///
     /// No token is available; the request must not be sent to this upstream.
-    pub async fn token(&self, choice: &Choice, heard: LimitHeard, urgency: f64) -> Result<(), Dry> {
+    pub async fn take_token(
+        &self,
+        choice: &Choice,
+        declared: LimitHeard,
+        urgency: f64,
+    ) -> Result<(), NoToken> {
         let report = &choice.upstream.report;
-        let (answer, answered) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         let call = LimitCall {
             ask: LimitAsk {
                 upstream: report.id.clone(),
                 zone: report.zone.clone(),
                 born_ms: report.born_ms,
-                per_s: heard.per_s,
-                heard_ms: heard.age.as_millis() as u32,
+                per_s: declared.per_s,
+                heard_ms: declared.age.as_millis() as u32,
                 urgency,
             },
             answer,
         };
-        let token = match self.0.send(call) {
-            Ok(()) => answered.await.unwrap_or(Err(Dry(UNHEARD_WAIT))),
+        let result = match self.0.send(call) {
+            Ok(()) => receiver.await.unwrap_or(Err(NoToken(NO_ANSWER_DELAY))),
             // The control thread has ended.
-            Err(_) => Err(Dry(UNHEARD_WAIT)),
+            Err(_) => Err(NoToken(NO_ANSWER_DELAY)),
         };
         let mut condition = choice.upstream.condition();
-        match token {
+        match result {
             Ok(()) => {
                 condition.stated.limit_gave();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(Dry(wait)) => condition.stated.limit_is_dry(clock::now(), wait),
+            Err(NoToken(wait)) => condition.stated.limit_is_dry(clock::now(), wait),
         }
-        token
+        result
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -13,7 +13,7 @@
 const OWN: &str = "own";
 
 /// An update for other hosts.
-pub(crate) struct FreshNews {
+pub(crate) struct PendingWorkUpdate {
     /// When this host learned of the event.
     pub learned: Instant,
     pub news: WorkNews,
@@ -27,12 +27,12 @@
 /// Crash records of this host. The control thread sends updates to other hosts.
 pub(crate) struct SharedSuspects {
     suspects: Mutex<Suspects>,
-    news: mpsc::UnboundedSender<FreshNews>,
+    news: mpsc::UnboundedSender<PendingWorkUpdate>,
 }
 
 impl SharedSuspects {
     /// Creates empty records, and the receiver of updates for other hosts.
-    pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<FreshNews>) {
+    pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<PendingWorkUpdate>) {
         let (news, fresh) = mpsc::unbounded_channel();
         let suspects = Mutex::new(Suspects::new(me));
         (SharedSuspects { suspects, news }, fresh)
@@ -166,7 +166,7 @@
     fn tell(&self, news: WorkNews, for_all: bool) {
         let learned = clock::now();
         // The control thread ends with the host.
-        let _ = self.news.send(FreshNews {
+        let _ = self.news.send(PendingWorkUpdate {
             learned,
             news,
             for_all,
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -15,7 +15,7 @@
 use super::head::{Head, credentials};
 use super::request_log::RequestLog;
 use super::run::Run;
-use crate::allowances::Beyond;
+use crate::allowances::AllowanceError;
 
 /// Largest body that is kept in memory so that it can be sent again.
 const HELD_BODY_BYTES: usize = 64 << 10;
@@ -96,12 +96,12 @@
     let Some(customer) = sender.bounded() else {
         return Ok(());
     };
-    let begun = clock::now();
+    let started_at = clock::now();
     let admitted = traffic.common.allowances.admit(customer).await;
-    request_log.token_ms = Some(clock::elapsed(begun).as_millis() as u64);
-    admitted.map_err(|beyond| match beyond {
-        Beyond::Used(come_back) => Refusal::BeyondAllowance { come_back },
-        Beyond::Unheard(come_back) => Refusal::NotRun {
+    request_log.token_ms = Some(clock::elapsed(started_at).as_millis() as u64);
+    admitted.map_err(|error| match error {
+        AllowanceError::Exhausted(come_back) => Refusal::BeyondAllowance { come_back },
+        AllowanceError::NoAnswer(come_back) => Refusal::NotRun {
             cause: Cause::AllowanceUnheard,
             come_back,
         },
@@ -157,7 +157,7 @@
 /// neither from the store nor from a host that polls it for longer than a change may take does not
 /// know which document is in force.
 fn unknown(traffic: &Traffic, refusal: Refusal) -> Refusal {
-    let age = traffic.common.heard.age(clock::now());
+    let age = traffic.common.document_age.age(clock::now());
     match age.is_some_and(|age| age <= traffic.common.bounds().document_apply_time) {
         true => refusal,
         false => Refusal::NotRun {
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -23,7 +23,7 @@
 use super::request_log::RequestLog;
 use super::send::{Sending, send};
 use super::shares::Shares;
-use crate::limits::Dry;
+use crate::limits::NoToken;
 
 /// Remaining time below which nothing is sent, since no answer could arrive in time.
 const TIME_LEAST: Duration = Duration::from_millis(5);
@@ -110,7 +110,7 @@
                 Ok(choice) => choice,
                 // The upstream is skipped until a token is available again.
                 Err(_) if self.turned_away < TURNED_AWAY_MOST => continue,
-                Err(Dry(wait)) => return Err(self.limited(wait)),
+                Err(NoToken(wait)) => return Err(self.limited(wait)),
             };
             choice.begin(clock::now(), destination.own_object());
             if let Some(answer) = self.send(&choice).await {
@@ -124,15 +124,15 @@
 
     /// Takes a token of the rate limit that the selected upstream declares, if any. Every send
     /// counts against the limit, however the upstream was selected.
-    async fn take_token(&mut self, choice: Choice) -> Result<Choice, Dry> {
-        let Some(heard) = choice.limit(clock::now()) else {
+    async fn take_token(&mut self, choice: Choice) -> Result<Choice, NoToken> {
+        let Some(declared) = choice.limit(clock::now()) else {
             return Ok(choice);
         };
-        let begun = clock::now();
+        let started_at = clock::now();
         let limits = &self.traffic.common.limits;
-        let token = limits.token(&choice, heard, self.urgency()).await;
+        let token = limits.take_token(&choice, declared, self.urgency()).await;
         let waited = self.request_log.limit_ms.unwrap_or(0);
-        self.request_log.limit_ms = Some(waited + clock::elapsed(begun).as_millis() as u64);
+        self.request_log.limit_ms = Some(waited + clock::elapsed(started_at).as_millis() as u64);
         self.turned_away += u32::from(token.is_err());
         token.map(|()| Choice {
             has_token: true,
@@ -157,10 +157,10 @@
             work: self.work,
             ends_known: self.ends_known,
         };
-        let begun = clock::now();
+        let started_at = clock::now();
         let missed = match send(self.traffic, choice, &mut sending, sent).await {
             Ok(answer) => {
-                let sent_ms = clock::elapsed(begun).as_millis() as u32;
+                let sent_ms = clock::elapsed(started_at).as_millis() as u32;
                 let told = WorkTold::Answered { sent_ms };
                 self.traffic.common.suspects.learn(self.work, told);
                 return Some(answer);
@@ -182,7 +182,7 @@
                 upstream: Arc::clone(&choice.upstream),
                 id: self.head.id.clone(),
                 work: self.work,
-                sent: begun,
+                sent: started_at,
             };
             // The check continues in its own task if the caller disconnects or the request times
             // out.
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -22,7 +22,7 @@
 /// A request in flight at an upstream. Dropping it ends the flight.
 struct Flight {
     upstream: Arc<Upstream>,
-    begun: Instant,
+    started_at: Instant,
     judged: Cell<bool>,
     work: WorkIdentity,
     /// Whether any part of the request may have left this host.
@@ -31,14 +31,14 @@
 
 impl Flight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
-        let begun = clock::now();
+        let started_at = clock::now();
         let mut condition = choice.upstream.condition();
-        condition.sent(begun);
+        condition.sent(started_at);
         condition.works_for(choice.expectation.work.if_fetched);
         drop(condition);
         Flight {
             upstream: Arc::clone(&choice.upstream),
-            begun,
+            started_at,
             judged: Cell::new(false),
             work,
             is_sent: Cell::new(false),
@@ -50,7 +50,7 @@
         let id = &self.upstream.report.id;
         let mut condition = self.upstream.condition();
         condition.answered(now, answered);
-        if answered.shows_life() && condition.stated.answered(self.begun) {
+        if answered.shows_life() && condition.stated.answered(self.started_at) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
         drop(condition);
@@ -68,9 +68,9 @@
         let now = clock::now();
         let mut condition = self.upstream.condition();
         if is_abandoned {
-            condition.abandoned.note(now, self.work, self.begun);
+            condition.abandoned.note(now, self.work, self.started_at);
         }
-        condition.stated.unanswered(self.begun);
+        condition.stated.unanswered(self.started_at);
         condition.ended(now);
     }
 }
@@ -188,7 +188,7 @@
         }
         Err(SendError::Late) => {
             count_send("late");
-            choice.gave_no_answer(clock::now(), clock::elapsed(flight.begun));
+            choice.gave_no_answer(clock::now(), clock::elapsed(flight.started_at));
             Err(Missed::new(Sent::Perhaps, "late"))
         }
     }
@@ -259,7 +259,7 @@
     let lacks_proof = status.is_success() && !headers.contains_key(&names.signature);
     let is_own = !status.is_informational() && !lacks_proof;
     let said = Said {
-        sent: flight.begun,
+        sent: flight.started_at,
         statement,
         is_own,
     };
@@ -284,7 +284,7 @@
     flight.judge(Answered::Whole);
     if status.is_success() {
         let now = clock::now();
-        let took = now - flight.begun;
+        let took = now - flight.started_at;
         traffic.shares().learn(now, sending.route, choice, took);
     }
     let (mut parts, body) = answer.into_parts();
