--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -339,8 +339,8 @@
         match ask {
             HostMessage::Tokens(ask) => HostReply::Tokens(self.0.lend(&from.name, &ask)),
             HostMessage::Spare(demand) => HostReply::Tokens(self.0.lend_in_zone(&demand)),
-            HostMessage::Works(news) => {
-                self.0.receive_work_updates(&from.name, news);
+            HostMessage::Works(updates) => {
+                self.0.receive_work_updates(&from.name, updates);
                 HostReply::Taken
             }
             HostMessage::MissedWorks(known) => {
--- a/crates/gateway/src/control/work_updates.rs
+++ b/crates/gateway/src/control/work_updates.rs
@@ -40,8 +40,8 @@
                 batch.push(next);
             }
             let current = |pending: &PendingWorkUpdate| WorkNews {
-                told: pending.news.told.later(clock::elapsed(pending.learned)),
-                ..pending.news
+                told: pending.update.told.later(clock::elapsed(pending.learned)),
+                ..pending.update
             };
             self.send_work(batch.iter().map(current).collect(), self.group());
             let for_all = batch.iter().filter(|pending| pending.for_all);
@@ -105,16 +105,16 @@
     }
 
     /// Applies updates of another host, and passes those from other groups on to the own group.
-    pub(super) fn receive_work_updates(self: &Rc<Self>, from: &HostName, news: Vec<WorkNews>) {
-        self.common.suspects.hear(&news, from);
+    pub(super) fn receive_work_updates(self: &Rc<Self>, from: &HostName, updates: Vec<WorkNews>) {
+        self.common.suspects.receive(&updates, from);
         let group = self.group();
         if group.iter().all(|host| host.name != *from) {
-            self.send_work(news, group);
+            self.send_work(updates, group);
         }
     }
 
-    fn send_work(self: &Rc<Self>, news: Vec<WorkNews>, receivers: Vec<HostEntry>) {
-        let message = Rc::new(HostMessage::Works(news));
+    fn send_work(self: &Rc<Self>, updates: Vec<WorkNews>, receivers: Vec<HostEntry>) {
+        let message = Rc::new(HostMessage::Works(updates));
         let started_at = clock::now();
         for host in receivers {
             let (control, message) = (Rc::clone(self), Rc::clone(&message));
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -29,7 +29,7 @@
 pub type RenderMetrics = fn() -> String;
 
 /// Time before the end of the grace period at which a stopping host ends in any case.
-const END_BEFORE: Duration = Duration::from_millis(300);
+const STOP_MARGIN: Duration = Duration::from_millis(300);
 
 /// Why a host could not start.
 #[derive(Debug, Display, Error, From)]
@@ -209,7 +209,7 @@
         tracing::info!(event = "leaving", host = self.settings.host);
         // Both threads may have ended already, so that nobody receives the stage.
         let _ = self.stage.send(Stage::Leaving { since });
-        let end = since + self.bounds.load().grace_period.saturating_sub(END_BEFORE);
+        let end = since + self.bounds.load().grace_period.saturating_sub(STOP_MARGIN);
         wait(&self.traffic, end);
         let _ = self.stage.send(Stage::Ended);
         wait(&self.control, end);
@@ -221,11 +221,11 @@
 /// Waits for a thread, at most until `end`.
 fn wait(thread: &JoinHandle<()>, end: Instant) {
     while !thread.is_finished() && clock::now() < end {
-        thread::sleep(STOP_POLL);
+        thread::sleep(STOP_POLL_INTERVAL);
     }
 }
 
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a future and the tasks that it spawns on a new thread.
 fn spawn<F>(name: &str, make: impl FnOnce() -> F + Send + 'static) -> io::Result<JoinHandle<()>>
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,7 +16,7 @@
 pub(crate) struct PendingWorkUpdate {
     /// When this host learned of the event.
     pub learned: Instant,
-    pub news: WorkNews,
+    pub update: WorkNews,
     /// Whether all hosts are told, not only those of the own group. A first crash, and the finding
     /// that the request did not cause it, go to the own group only: with hundreds of hosts, each
     /// upstream that crashes for another reason would cost every host a message for each request in
@@ -27,70 +27,70 @@
 /// Crash records of this host. The control thread sends updates to other hosts.
 pub(crate) struct SharedSuspects {
     suspects: Mutex<Suspects>,
-    news: mpsc::UnboundedSender<PendingWorkUpdate>,
+    updates: mpsc::UnboundedSender<PendingWorkUpdate>,
 }
 
 impl SharedSuspects {
     /// Creates empty records, and the receiver of updates for other hosts.
     pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<PendingWorkUpdate>) {
-        let (news, fresh) = mpsc::unbounded_channel();
+        let (updates, receiver) = mpsc::unbounded_channel();
         let suspects = Mutex::new(Suspects::new(me));
-        (SharedSuspects { suspects, news }, fresh)
+        (SharedSuspects { suspects, updates }, receiver)
     }
 
     fn suspects(&self) -> MutexGuard<'_, Suspects> {
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides whether to admit a request. Also returns the number of crashes attributed to it.
+    /// Decides whether to admit a request. Also returns the number of crashes attributed to the request.
     pub fn admit(&self, work: WorkIdentity) -> (Admission, u32) {
         let mut suspects = self.suspects();
         let admission = suspects.admit(clock::now(), work);
-        let ends = suspects.ends_of(work);
+        let crashes = suspects.ends_of(work);
         drop(suspects);
         count(match admission {
-            Admission::Free => return (admission, ends),
+            Admission::Free => return (admission, crashes),
             Admission::Refused(_) => "refused",
             Admission::Trial => "tried",
         });
         if admission == Admission::Trial {
             tracing::info!(
                 event = "work_tried",
-                work = name(work.request),
-                object = name(work.object)
+                work = format_key(work.request),
+                object = format_key(work.object)
             );
             let told = WorkTold::Tried;
-            self.tell(WorkNews { work, told }, true);
+            self.send_update(WorkNews { work, told }, true);
         }
-        (admission, ends)
+        (admission, crashes)
     }
 
-    /// Remaining time for which a request must not be sent; none if it may be sent. `ends` is the
+    /// Remaining time for which a request must not be sent; none if it may be sent. `crashes` is the
     /// number of crashes known when the request was admitted.
-    pub fn barred_for(&self, work: WorkIdentity, ends: u32) -> Option<Duration> {
-        self.suspects().barred_for(clock::now(), work, ends)
+    pub fn barred_for(&self, work: WorkIdentity, crashes: u32) -> Option<Duration> {
+        self.suspects().barred_for(clock::now(), work, crashes)
     }
 
     /// Whether a request may be sent again after its upstream has crashed.
-    pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
+    pub fn may_be_retried(&self, work: WorkIdentity) -> bool {
         self.suspects().may_be_repeated(work)
     }
 
     /// Records what a request of this host has shown.
-    pub fn learn(&self, work: WorkIdentity, told: WorkTold) {
-        let news = WorkNews { work, told };
+    pub fn record_event(&self, work: WorkIdentity, told: WorkTold) {
+        let update = WorkNews { work, told };
         if matches!(told, WorkTold::Ended { .. }) {
             count("ended");
         }
-        if let Some(ends) = self.take(&news, OWN) {
-            self.tell(news, ends >= ENDS_REFUSED);
+        if let Some(crashes) = self.apply(&update, OWN) {
+            self.send_update(update, crashes >= ENDS_REFUSED);
         }
     }
 
     /// Applies updates from the host `from`.
-    pub fn hear(&self, news: &[WorkNews], from: &str) {
-        for news in news {
-            self.take(news, from);
+    pub fn receive(&self, updates: &[WorkNews], from: &str) {
+        for update in updates {
+            self.apply(update, from);
         }
     }
 
@@ -117,7 +117,7 @@
         for state in states {
             let before = suspects.ends(state.key);
             suspects.merge(now, state);
-            note_change(state.key, before, suspects.ends(state.key), from);
+            log_change(state.key, before, suspects.ends(state.key), from);
         }
     }
 
@@ -130,11 +130,11 @@
     /// if the order changes nothing.
     pub fn order(&self, key: WorkKey, order: WorkTold) -> bool {
         let work = WorkIdentity::named(key);
-        let news = WorkNews { work, told: order };
-        tracing::info!(event = "work_ordered", work = name(key), ?order);
-        let is_new = self.take(&news, OWN).is_some();
+        let update = WorkNews { work, told: order };
+        tracing::info!(event = "work_ordered", work = format_key(key), ?order);
+        let is_new = self.apply(&update, OWN).is_some();
         if is_new {
-            self.tell(news, true);
+            self.send_update(update, true);
         }
         is_new
     }
@@ -146,39 +146,49 @@
 
     /// Applies an update. If it is new, returns the larger number of consecutive crashes for the
     /// request or its object, before or after.
-    fn take(&self, news: &WorkNews, by: &str) -> Option<u32> {
+    fn apply(&self, update: &WorkNews, by: &str) -> Option<u32> {
         let mut suspects = self.suspects();
-        let before: Vec<(WorkKey, u32)> = news
+        let before: Vec<(WorkKey, u32)> = update
             .work
             .keys()
             .map(|key| (key, suspects.ends(key)))
             .collect();
-        let is_new = suspects.take(clock::now(), news.work, news.told);
-        let mut most = 0;
+        let is_new = suspects.take(clock::now(), update.work, update.told);
+        let mut max_crashes = 0;
         for (key, before) in before {
-            let ends = suspects.ends(key);
-            note_change(key, before, ends, by);
-            most = most.max(before).max(ends);
+            let crashes = suspects.ends(key);
+            log_change(key, before, crashes, by);
+            max_crashes = max_crashes.max(before).max(crashes);
         }
-        is_new.then_some(most)
+        is_new.then_some(max_crashes)
     }
 
-    fn tell(&self, news: WorkNews, for_all: bool) {
+    fn send_update(&self, update: WorkNews, for_all: bool) {
         let learned = clock::now();
         // The control thread ends with the host.
-        let _ = self.news.send(PendingWorkUpdate {
+        let _ = self.updates.send(PendingWorkUpdate {
             learned,
-            news,
+            update,
             for_all,
         });
     }
 }
 
-fn note_change(key: WorkKey, before: u32, ends: u32, by: &str) {
-    if ends > before && ends >= ENDS_REFUSED {
-        tracing::warn!(event = "work_refused", work = name(key), ends, by);
-    } else if ends < before && before >= ENDS_REFUSED {
-        tracing::info!(event = "work_cleared", work = name(key), ends = before, by);
+fn log_change(key: WorkKey, before: u32, crashes: u32, by: &str) {
+    if crashes > before && crashes >= ENDS_REFUSED {
+        tracing::warn!(
+            event = "work_refused",
+            work = format_key(key),
+            ends = crashes,
+            by
+        );
+    } else if crashes < before && before >= ENDS_REFUSED {
+        tracing::info!(
+            event = "work_cleared",
+            work = format_key(key),
+            ends = before,
+            by
+        );
     }
 }
 
@@ -187,6 +197,6 @@
 }
 
 /// Formats the key of a request or an object as in the log.
-pub(crate) fn name(work: WorkKey) -> String {
+pub(crate) fn format_key(work: WorkKey) -> String {
     format!("{work:016x}")
 }
--- a/crates/gateway/src/traffic/answers.rs
+++ b/crates/gateway/src/traffic/answers.rs
@@ -17,7 +17,7 @@
     /// The customer's allowance is used up. The request has not run and never will.
     BeyondAllowance {
         /// Time after which the caller may retry.
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// The request is invalid, too large, or was sent too slowly.
     BadRequest(StatusCode),
@@ -25,7 +25,7 @@
     NotRun {
         cause: Cause,
         /// Time after which the caller may retry.
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// The request may have run; there was no complete answer.
     MayHaveRun,
@@ -60,7 +60,7 @@
     UpstreamsLimit,
     /// Upstreams have crashed, one after the other, while serving such a request.
     #[display("ends_upstreams")]
-    EndsUpstreams,
+    CrashesUpstreams,
     /// Every upstream that was tried refused the request or could not be reached, and no further
     /// attempt is allowed.
     #[display("refused_there")]
@@ -87,8 +87,9 @@
         };
         let mut answer = Response::new(full(text));
         *answer.status_mut() = status;
-        if let Refusal::NotRun { come_back, .. } | Refusal::BeyondAllowance { come_back } = self {
-            let seconds = format!("{:.3}", come_back.as_secs_f64());
+        if let Refusal::NotRun { retry_after, .. } | Refusal::BeyondAllowance { retry_after } = self
+        {
+            let seconds = format!("{:.3}", retry_after.as_secs_f64());
             if let Ok(seconds) = HeaderValue::from_str(&seconds) {
                 answer.headers_mut().insert(RETRY_AFTER, seconds);
             }
--- a/crates/gateway/src/traffic/look.rs
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -11,7 +11,7 @@
 
 /// Checks an upstream that has closed a request's connection. A closed connection alone is weak
 /// evidence, since an upstream loses an answer now and then.
-pub(super) struct Look {
+pub(super) struct CrashCheck {
     pub traffic: Arc<Traffic>,
     pub upstream: Arc<Upstream>,
     /// Identity of the request.
@@ -21,7 +21,7 @@
     pub sent: Instant,
 }
 
-impl Look {
+impl CrashCheck {
     /// Runs the check, and records a crash.
     pub async fn run(self) {
         let closed = clock::now();
@@ -33,23 +33,23 @@
             event = "upstream_ended",
             id = self.id,
             upstream = report.id,
-            work = suspects::name(self.work.request),
-            object = suspects::name(self.work.object)
+            work = suspects::format_key(self.work.request),
+            object = suspects::format_key(self.work.object)
         );
-        self.learn(self.work, self.sent, closed);
+        self.record_crash(self.work, self.sent, closed);
         // Callers that have disconnected do not report the outcome of their requests.
         let abandoned = self.upstream.condition().abandoned.take(closed);
         for (work, sent) in abandoned {
-            self.learn(work, sent, closed);
+            self.record_crash(work, sent, closed);
         }
     }
 
-    fn learn(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
+    fn record_crash(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
         let told = WorkTold::Ended {
             start: self.upstream.report.start_hash(),
             sent_ms: clock::elapsed(sent).as_millis() as u32,
             ended_ms: clock::elapsed(closed).as_millis() as u32,
         };
-        self.traffic.common.suspects.learn(work, told);
+        self.traffic.common.suspects.record_event(work, told);
     }
 }
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -24,16 +24,16 @@
         sender: &Sender,
         object: Option<&[u8]>,
     ) -> Destination {
-        let service = traffic.shares().part(route).clone();
+        let service = traffic.stats().pick_service(route).clone();
         let object = object.filter(|_| route.by_object);
         let by_object = object.is_some();
         let object = object.map_or_else(rand::random, |object| object_hash(&service, object));
         let bounds = traffic.common.bounds();
         let now = clock::now();
-        traffic.shares().request(&service, &bounds, now);
-        let may = |region: &str| may_run_in(route, sender, region);
+        traffic.stats().count_request(&service, &bounds, now);
+        let is_allowed = |region: &str| may_run_in(route, sender, region);
         Destination {
-            region: region(traffic, &service, object, &may),
+            region: select_region(traffic, &service, object, &is_allowed),
             service,
             object,
             by_object,
@@ -66,29 +66,29 @@
 }
 
 /// Selects the region for a request; none if no region may or can serve it.
-fn region(
+fn select_region(
     traffic: &Traffic,
     service: &ServiceName,
     object: u64,
-    may: &dyn Fn(&str) -> bool,
+    is_allowed: &dyn Fn(&str) -> bool,
 ) -> Option<RegionName> {
     let view = traffic.common.view.load();
     let pool = view.services.get(service)?;
     let own = &traffic.common.settings.region;
-    let has = |region: &RegionName| pool.regions.contains_key(region) && may(region);
+    let can_serve = |region: &RegionName| pool.regions.contains_key(region) && is_allowed(region);
     let place = place(object);
     let now = clock::now();
-    if has(own) && traffic.shares().stays(service, pool, place, now) {
+    if can_serve(own) && traffic.stats().stays_in_region(service, pool, place, now) {
         return Some(own.clone());
     }
     let others = pool.regions.iter();
-    let others = others.filter(|(region, _)| *region != own && may(region));
-    let far = far_region(object, others);
-    far.or_else(|| has(own).then(|| own.clone()))
+    let others = others.filter(|(region, _)| *region != own && is_allowed(region));
+    let other = other_region(object, others);
+    other.or_else(|| can_serve(own).then(|| own.clone()))
 }
 
 /// Selects a region other than the own for an object, weighted by the regions' slots.
-fn far_region<'a>(
+fn other_region<'a>(
     object: u64,
     regions: impl Iterator<Item = (&'a RegionName, &'a RegionPool)>,
 ) -> Option<RegionName> {
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -20,14 +20,14 @@
 /// Largest body that is kept in memory so that it can be sent again.
 const HELD_BODY_BYTES: usize = 64 << 10;
 /// Time after which a caller may retry at a host that has no document yet.
-pub(super) const NO_DOCUMENT_WAIT: Duration = Duration::from_millis(500);
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers a caller's request.
 pub(super) async fn answer(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Response<Body> {
     let head = Head::read(&request, traffic.wire_format.headers(), clock::now());
     let mut request_log = RequestLog::new(&head);
     let answered = route_and_run(traffic, &head, &mut request_log, request).await;
-    request_log.end(&head, &answered);
+    request_log.finish(&head, &answered);
     answered.unwrap_or_else(Refusal::answer)
 }
 
@@ -38,19 +38,19 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = request.into_parts();
-    let Found {
+    let MatchedRoute {
         route,
         sender,
         limits,
-    } = find(traffic, head, request_log, &parts.headers, parts.uri.path())?;
-    let body = read(body, limits).await?;
-    admit(traffic, &sender, request_log).await?;
+    } = match_route(traffic, head, request_log, &parts.headers, parts.uri.path())?;
+    let body = read_body(body, limits).await?;
+    take_allowance_token(traffic, &sender, request_log).await?;
     let deadline = match route.timeout {
         Some(timeout) => head.deadline.min(head.arrived + timeout),
         None => head.deadline,
     };
     let patience = head.deadline.saturating_duration_since(head.arrived);
-    let which_try = traffic.shares().which_try(&route.name, patience);
+    let caller_attempt = traffic.stats().caller_attempt(&route.name, patience);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let work = WorkIdentity::new(&WorkParts {
         route: &route.name,
@@ -62,8 +62,8 @@
     });
     let mut run = Run {
         work,
-        ends_known: 0,
-        turned_away: 0,
+        crashes_known: 0,
+        token_refusals: 0,
         traffic,
         head,
         request_log,
@@ -72,12 +72,12 @@
         parts,
         body,
         deadline,
-        which_try,
+        caller_attempt,
         sends: Vec::new(),
-        tried: Vec::new(),
+        excluded: Vec::new(),
     };
-    let time = deadline.saturating_duration_since(clock::now());
-    let answered = match tokio::time::timeout(time, run.run()).await {
+    let time_left = deadline.saturating_duration_since(clock::now());
+    let answered = match tokio::time::timeout(time_left, run.run()).await {
         Ok(answered) => answered,
         Err(_) => Err(run.out_of_time()),
     };
@@ -88,7 +88,7 @@
 }
 
 /// Takes a token of the customer's allowance, if the sender has one.
-async fn admit(
+async fn take_allowance_token(
     traffic: &Traffic,
     sender: &Sender,
     request_log: &mut RequestLog,
@@ -100,16 +100,16 @@
     let admitted = traffic.common.allowances.admit(customer).await;
     request_log.token_ms = Some(clock::elapsed(started_at).as_millis() as u64);
     admitted.map_err(|error| match error {
-        AllowanceError::Exhausted(come_back) => Refusal::BeyondAllowance { come_back },
-        AllowanceError::NoAnswer(come_back) => Refusal::NotRun {
+        AllowanceError::Exhausted(retry_after) => Refusal::BeyondAllowance { retry_after },
+        AllowanceError::NoAnswer(retry_after) => Refusal::NotRun {
             cause: Cause::AllowanceUnheard,
-            come_back,
+            retry_after,
         },
     })
 }
 
 /// The route and sender of a request.
-struct Found {
+struct MatchedRoute {
     route: Arc<Route>,
     sender: Sender,
     /// Limits on what the caller sends.
@@ -120,33 +120,33 @@
 ///
 /// The view is not held while the request runs: with thousands of upstreams a view takes half a
 /// megabyte, and some twenty views follow each other while one request waits.
-fn find(
+fn match_route(
     traffic: &Traffic,
     head: &Head,
     request_log: &mut RequestLog,
     headers: &HeaderMap,
     path: &str,
-) -> Result<Found, Refusal> {
+) -> Result<MatchedRoute, Refusal> {
     let view = traffic.common.view.load();
     if !view.is_ready() {
         return Err(Refusal::NotRun {
             cause: Cause::NoDocument,
-            come_back: NO_DOCUMENT_WAIT,
+            retry_after: DEFAULT_RETRY_AFTER,
         });
     }
     request_log.version = view.version;
     let route = view.table.find(&head.domain, path);
-    let route = route.ok_or_else(|| unknown(traffic, Refusal::NoRoute))?;
+    let route = route.ok_or_else(|| unless_outdated(traffic, Refusal::NoRoute))?;
     request_log.route.clone_from(&route.name);
     let sender = view
         .customers
         .recognise(route.public, || credentials(headers));
     let sender = sender.map_err(|error| match error {
-        NoAccess::UnknownKey => unknown(traffic, Refusal::NoAccess),
+        NoAccess::UnknownKey => unless_outdated(traffic, Refusal::NoAccess),
         NoAccess::Ambiguous => Refusal::BadRequest(StatusCode::BAD_REQUEST),
     })?;
     request_log.customer = sender.customer().map(|customer| customer.name.clone());
-    Ok(Found {
+    Ok(MatchedRoute {
         route: Arc::clone(route),
         sender,
         limits: view.limits,
@@ -156,18 +156,18 @@
 /// The refusal of a route or key that is not in the document in force. A host that has heard
 /// neither from the store nor from a host that polls it for longer than a change may take does not
 /// know which document is in force.
-fn unknown(traffic: &Traffic, refusal: Refusal) -> Refusal {
+fn unless_outdated(traffic: &Traffic, refusal: Refusal) -> Refusal {
     let age = traffic.common.document_age.age(clock::now());
     match age.is_some_and(|age| age <= traffic.common.bounds().document_apply_time) {
         true => refusal,
         false => Refusal::NotRun {
             cause: Cause::OldDocument,
-            come_back: NO_DOCUMENT_WAIT,
+            retry_after: DEFAULT_RETRY_AFTER,
         },
     }
 }
 
-async fn read(body: Incoming, limits: CallerLimits) -> Result<WorkBody, Refusal> {
+async fn read_body(body: Incoming, limits: CallerLimits) -> Result<WorkBody, Refusal> {
     let body = Bounded::new(body, limits.body_bytes, limits.head_timeout).boxed_unsync();
     let held = hold(body, HELD_BODY_BYTES).await;
     held.map(WorkBody::from).map_err(|error| {
--- a/crates/gateway/src/traffic/head.rs
+++ b/crates/gateway/src/traffic/head.rs
@@ -9,7 +9,7 @@
 use crate::wire_format::HeaderNames;
 
 /// Deadline of a request that states none.
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// The parts of a request's head that affect routing.
 #[derive(Debug, Clone)]
@@ -29,25 +29,25 @@
     pub fn read<B>(request: &Request<B>, names: &HeaderNames, arrived: Instant) -> Head {
         let headers = request.headers();
         let time = text(headers, &names.deadline_ms).and_then(|text| text.parse().ok());
-        let time = time.map_or(DEADLINE_DEFAULT, Duration::from_millis);
+        let time = time.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let host = text(headers, &HOST).or(request.uri().host());
         Head {
             id: text(headers, &names.request_id).unwrap_or("").to_owned(),
             domain: host.unwrap_or("").to_owned(),
             object: headers.get(&names.object).map(|v| v.as_bytes().to_vec()),
             arrived,
-            deadline: arrived + time.min(DEADLINE_MOST),
+            deadline: arrived + time.min(MAX_DEADLINE),
         }
     }
 }
 
 /// Longest deadline; longer ones are reduced to it.
-const DEADLINE_MOST: Duration = Duration::from_secs(3_600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// Authorization scheme of a key.
 const KEY_SCHEME: &[u8] = b"bearer";
 /// Longest key, in bytes. Operators' keys have some tens of bytes.
-const KEY_MOST_BYTES: usize = 1_024;
+const MAX_KEY_BYTES: usize = 1_024;
 
 /// Reads the sender's credentials.
 pub(super) fn credentials(headers: &HeaderMap) -> Credentials {
@@ -64,7 +64,7 @@
     let at = bytes.iter().position(|byte| *byte == b' ')?;
     let (scheme, key) = bytes.split_at(at);
     let key = key.trim_ascii();
-    let is_one = !key.is_empty() && key.len() <= KEY_MOST_BYTES && !key.contains(&b' ');
+    let is_one = !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(&b' ');
     (is_one && scheme.eq_ignore_ascii_case(KEY_SCHEME)).then(|| KeyHash::of(key))
 }
 
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -9,7 +9,7 @@
 use crate::wire_format::HostLookup;
 
 /// Most hosts in an answer.
-const HOSTS_MOST: usize = 64;
+const MAX_HOSTS: usize = 64;
 /// Time for which an answer is valid. Some callers use it three times as long, and they must leave
 /// a stopping host within its grace period.
 const TTL: Duration = Duration::from_secs(2);
@@ -44,6 +44,6 @@
     }
     near.sort_unstable();
     near.dedup();
-    near.truncate(HOSTS_MOST);
+    near.truncate(MAX_HOSTS);
     near
 }
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -1,18 +1,18 @@
 //! Callers' requests, host lookups and readiness checks, all on one thread.
 
 mod answers;
+mod crash_check;
 mod destination;
 mod forward;
 mod head;
-mod hear;
-mod look;
 mod look_up;
 mod operator;
 mod request_log;
 mod run;
 mod send;
 mod server;
-mod shares;
+mod statements;
+mod stats;
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,16 +26,16 @@
 
 use crate::host::{Common, RenderMetrics, Sockets, Stage};
 use crate::wire_format::WireFormat;
-use hear::Unread;
-use shares::Shares;
+use statements::UnknownStatements;
+use stats::TrafficStats;
 
 /// Time for which a leaving host accepts new connections, at most half of the grace period. Callers
 /// use its address until the lookup's answer expires.
-const TAKES_NEW_FOR: Duration = Duration::from_secs(3);
+const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 /// Interval at which shares are adapted to load.
-const ADAPT_EVERY: Duration = Duration::from_secs(1);
+const ADAPT_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a leaving host checks whether its last connection has closed.
-const LAST_POLL: Duration = Duration::from_millis(20);
+const LAST_CONNECTION_POLL: Duration = Duration::from_millis(20);
 
 /// State of the traffic thread.
 pub(crate) struct Traffic {
@@ -43,22 +43,22 @@
     wire_format: Arc<dyn WireFormat>,
     connections: Connections,
     render_metrics: RenderMetrics,
-    shares: Mutex<Shares>,
+    stats: Mutex<TrafficStats>,
     /// Names of unknown statements in upstreams' answers.
-    unread: Unread,
+    unknown_statements: UnknownStatements,
     /// Open connections of callers. A connection closes only after its last answer has been written
     /// completely.
-    open: AtomicU32,
+    open_connections: AtomicU32,
 }
 
 impl Traffic {
-    fn shares(&self) -> MutexGuard<'_, Shares> {
-        self.shares.lock().unwrap_or_else(PoisonError::into_inner)
+    fn stats(&self) -> MutexGuard<'_, TrafficStats> {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time for which a leaving host accepts new connections.
-    fn takes_new_for(&self) -> Duration {
-        TAKES_NEW_FOR.min(self.common.bounds().grace_period / 2)
+    fn accept_time(&self) -> Duration {
+        MAX_ACCEPT_TIME.min(self.common.bounds().grace_period / 2)
     }
 
     fn is_leaving(&self) -> bool {
@@ -75,52 +75,52 @@
 ) {
     let mut stage = common.stage.clone();
     let traffic = Arc::new(Traffic {
-        shares: Mutex::new(Shares::new(&common.settings)),
+        stats: Mutex::new(TrafficStats::new(&common.settings)),
         connections: Connections::default(),
-        unread: Unread::default(),
-        open: AtomicU32::default(),
+        unknown_statements: UnknownStatements::default(),
+        open_connections: AtomicU32::default(),
         wire_format,
         render_metrics,
         common,
     });
-    let callers = server::accept(&traffic, sockets.callers, server::Side::Callers);
-    server::accept(&traffic, sockets.ready, server::Side::Checks);
-    server::accept(&traffic, sockets.look_ups, server::Side::Checks);
+    let callers = server::accept(&traffic, sockets.callers, server::Purpose::Callers);
+    server::accept(&traffic, sockets.ready, server::Purpose::Checks);
+    server::accept(&traffic, sockets.look_ups, server::Purpose::Checks);
     if let Some(metrics) = sockets.metrics {
-        server::accept(&traffic, metrics, server::Side::Metrics);
+        server::accept(&traffic, metrics, server::Purpose::Metrics);
     }
     spawn_local(adapt(Arc::clone(&traffic)));
     // The channel closes when the host has stopped.
     let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-    sleep(traffic.takes_new_for()).await;
+    sleep(traffic.accept_time()).await;
     callers.abort();
-    while traffic.open.load(Ordering::Relaxed) > 0 {
-        sleep(LAST_POLL).await;
+    while traffic.open_connections.load(Ordering::Relaxed) > 0 {
+        sleep(LAST_CONNECTION_POLL).await;
     }
 }
 
 async fn adapt(traffic: Arc<Traffic>) {
     let mut last = clock::now();
     loop {
-        sleep(ADAPT_EVERY).await;
+        sleep(ADAPT_INTERVAL).await;
         let now = clock::now();
         let view = traffic.common.view.load_full();
         let bounds = traffic.common.bounds();
-        traffic.shares().adapt(&view, &bounds, now, now - last);
+        traffic.stats().adapt(&view, &bounds, now, now - last);
         last = now;
-        let open = traffic.open.load(Ordering::Relaxed);
+        let open = traffic.open_connections.load(Ordering::Relaxed);
         metrics::gauge!("stagedeck_caller_connections").set(open);
         metrics::gauge!("stagedeck_document_version").set(view.version as f64);
         metrics::gauge!("stagedeck_works_refused")
             .set(traffic.common.suspects.refused().len() as f64);
         metrics::gauge!("stagedeck_sharers").set(view.sharers.unwrap_or(0) as f64);
         for (service, pool) in view.services.iter() {
-            count_stated(service, pool, now);
+            record_statement_counts(service, pool, now);
         }
     }
 }
 
-fn count_stated(service: &ServiceName, pool: &ServicePool, now: Instant) {
+fn record_statement_counts(service: &ServiceName, pool: &ServicePool, now: Instant) {
     let StatedCounts {
         resting,
         leaving,
--- a/crates/gateway/src/traffic/operator.rs
+++ b/crates/gateway/src/traffic/operator.rs
@@ -35,7 +35,7 @@
     if !is_own {
         return status(StatusCode::FORBIDDEN);
     }
-    let Some(work) = rest.strip_prefix('/').and_then(key) else {
+    let Some(work) = rest.strip_prefix('/').and_then(parse_key) else {
         return status(StatusCode::BAD_REQUEST);
     };
     status(match traffic.common.suspects.order(work, order) {
@@ -45,7 +45,7 @@
 }
 
 /// Parses a key in the format of the log.
-fn key(text: &str) -> Option<WorkKey> {
+fn parse_key(text: &str) -> Option<WorkKey> {
     let is_key = text.len() == 16;
     is_key.then(|| WorkKey::from_str_radix(text, 16).ok())?
 }
@@ -54,7 +54,7 @@
     let refused = traffic.common.suspects.refused();
     let refused = refused.iter().map(|refused| {
         json!({
-            "work": suspects::name(refused.work),
+            "work": suspects::format_key(refused.work),
             "ends": refused.ends,
             "refused_for_ms": refused.refused_for.as_millis() as u64,
         })
--- a/crates/gateway/src/traffic/request_log.rs
+++ b/crates/gateway/src/traffic/request_log.rs
@@ -9,7 +9,7 @@
 
 use super::answers::{Cause, Refusal};
 use super::head::Head;
-use super::run::Unchosen;
+use super::run::SelectionError;
 use crate::suspects;
 
 /// Logs an event with the routing record of its request. The event's own fields come first.
@@ -39,7 +39,7 @@
             worth = $request_log.worth,
             sends = $request_log.sends,
             passed_over = $request_log.passed_over(),
-            work = $request_log.work.map(suspects::name)
+            work = $request_log.work.map(suspects::format_key)
         )
     };
 }
@@ -52,7 +52,7 @@
 pub(super) struct RequestLog {
     id: RequestId,
     arrived: Instant,
-    ended: bool,
+    is_finished: bool,
     /// Version of the document that contains the route.
     pub version: u64,
     pub route: RuleName,
@@ -104,7 +104,7 @@
         RequestLog {
             id: head.id.clone(),
             arrived: head.arrived,
-            ended: false,
+            is_finished: false,
             version: 0,
             route: RuleName::new(),
             service: ServiceName::new(),
@@ -130,7 +130,7 @@
     }
 
     /// Records the selected upstream.
-    pub fn chose(&mut self, choice: &Choice) {
+    pub fn selected(&mut self, choice: &Choice) {
         self.upstream.clone_from(&choice.upstream.report.id);
         self.rank = choice.rank;
         self.load = choice.load;
@@ -146,15 +146,15 @@
     }
 
     /// Records that no upstream could be selected.
-    pub fn unchosen(&mut self, unchosen: &Unchosen) {
+    pub fn not_selected(&mut self, error: &SelectionError) {
         if let Refusal::NotRun {
             cause: Cause::NoRoom,
-            come_back,
-        } = unchosen.refusal
+            retry_after,
+        } = error.refusal
         {
-            self.least_wait_ms = Some(come_back.as_millis() as u64);
+            self.least_wait_ms = Some(retry_after.as_millis() as u64);
         }
-        self.passed_over.clone_from(&unchosen.passed_over);
+        self.passed_over.clone_from(&error.passed_over);
     }
 
     /// Skipped upstreams as logged; none if there were none.
@@ -163,8 +163,8 @@
     }
 
     /// Logs and counts a request that was answered or refused.
-    pub fn end(&mut self, head: &Head, answered: &Result<Response<Body>, Refusal>) {
-        self.ended = true;
+    pub fn finish(&mut self, head: &Head, answered: &Result<Response<Body>, Refusal>) {
+        self.is_finished = true;
         let outcome = outcome(answered);
         let took = self.count(outcome);
         metrics::histogram!("stagedeck_request_latency_seconds", "outcome" => outcome)
@@ -174,16 +174,16 @@
                 let status = answer.status().as_u16();
                 log_request!(info, "request", self, status);
             }
-            Err(Refusal::NotRun { cause, come_back }) => {
+            Err(Refusal::NotRun { cause, retry_after }) => {
                 metrics::counter!("stagedeck_refusals_total", "cause" => cause.to_string())
                     .increment(1);
-                let come_back_ms = come_back.as_millis() as u64;
+                let come_back_ms = retry_after.as_millis() as u64;
                 let least_wait_ms = self.least_wait_ms;
                 log_request!(info, "request_refused", self, %cause, come_back_ms, least_wait_ms);
             }
             Err(Refusal::NoAccess) => log_request!(info, "request_unauthorized", self),
-            Err(Refusal::BeyondAllowance { come_back }) => {
-                let come_back_ms = come_back.as_millis() as u64;
+            Err(Refusal::BeyondAllowance { retry_after }) => {
+                let come_back_ms = retry_after.as_millis() as u64;
                 log_request!(info, "request_beyond_allowance", self, come_back_ms);
             }
             Err(Refusal::NoRoute) => {
@@ -208,7 +208,7 @@
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_finished {
             self.count("left");
             log_request!(info, "request_left", self);
         }
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -16,26 +16,26 @@
 
 use super::Traffic;
 use super::answers::{Cause, Refusal};
+use super::crash_check::CrashCheck;
 use super::destination::Destination;
-use super::forward::NO_DOCUMENT_WAIT;
+use super::forward::DEFAULT_RETRY_AFTER;
 use super::head::Head;
-use super::look::Look;
 use super::request_log::RequestLog;
-use super::send::{Sending, send};
-use super::shares::Shares;
+use super::send::{OutgoingRequest, send};
+use super::stats::TrafficStats;
 use crate::limits::NoToken;
 
 /// Remaining time below which nothing is sent, since no answer could arrive in time.
-const TIME_LEAST: Duration = Duration::from_millis(5);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 /// Assumed response time of a service that has not answered yet, as a fraction of the latency goal.
-const USUAL_AT_FIRST: f64 = 0.5;
+const INITIAL_LATENCY_FRACTION: f64 = 0.5;
 /// Fraction of the wait at a full upstream that the least urgent requests accept.
-const URGENCY_LEAST: f64 = 0.6;
+const MIN_URGENCY: f64 = 0.6;
 /// Decrease of this fraction for each level of priority.
 const URGENCY_STEP: f64 = 0.2;
 /// Most upstreams without a token of their rate limit that a request tries. Without this bound, a
 /// request would try them again and again until its deadline if many upstreams declare limits.
-const TURNED_AWAY_MOST: u32 = 4;
+const MAX_TOKEN_REFUSALS: u32 = 4;
 
 /// A request in progress.
 pub(super) struct Run<'a> {
@@ -50,32 +50,32 @@
     /// Time by which the request must be answered, even with an error.
     pub deadline: Instant,
     /// Whether the caller has sent this request before.
-    pub which_try: Try,
+    pub caller_attempt: Try,
     /// Progress of each send.
     pub sends: Vec<Sent>,
     /// Upstreams that are not tried again, because they refused the request or could not be
     /// reached.
-    pub tried: Vec<UpstreamId>,
+    pub excluded: Vec<UpstreamId>,
     /// Identity of the request and its object for crash detection; the same when the request is
     /// repeated.
     pub work: WorkIdentity,
     /// Crashes attributed to the request when it was admitted.
-    pub ends_known: u32,
+    pub crashes_known: u32,
     /// Number of selected upstreams that had no token of their rate limit.
-    pub turned_away: u32,
+    pub token_refusals: u32,
 }
 
 /// No upstream could be selected.
-pub(super) struct Unchosen {
+pub(super) struct SelectionError {
     /// The refusal to answer with.
     pub refusal: Refusal,
     /// Upstreams skipped because of what they declared about themselves.
     pub passed_over: Vec<UpstreamId>,
 }
 
-impl From<Refusal> for Unchosen {
+impl From<Refusal> for SelectionError {
     fn from(refusal: Refusal) -> Self {
-        Unchosen {
+        SelectionError {
             refusal,
             passed_over: Vec::new(),
         }
@@ -85,15 +85,15 @@
 impl Run<'_> {
     /// Sends the request, with retries, until it is answered or fails.
     pub async fn run(&mut self) -> Result<Response<Body>, Refusal> {
-        let (admission, ends_known) = self.traffic.common.suspects.admit(self.work);
-        self.ends_known = ends_known;
+        let (admission, crashes_known) = self.traffic.common.suspects.admit(self.work);
+        self.crashes_known = crashes_known;
         if admission != Admission::Free {
             self.request_log.work = Some(self.work.request);
         }
         if let Admission::Refused(time) = admission {
             return Err(Refusal::NotRun {
-                cause: Cause::EndsUpstreams,
-                come_back: time,
+                cause: Cause::CrashesUpstreams,
+                retry_after: time,
             });
         }
         let object = self.head.object.as_deref();
@@ -102,22 +102,22 @@
         self.request_log.region = destination.region.clone().unwrap_or_default();
         self.request_log.object = destination.own_object();
         loop {
-            let choice = self.choose(&destination).map_err(|unchosen| {
-                self.request_log.unchosen(&unchosen);
-                unchosen.refusal
+            let choice = self.select_upstream(&destination).map_err(|error| {
+                self.request_log.not_selected(&error);
+                error.refusal
             })?;
             let choice = match self.take_token(choice).await {
                 Ok(choice) => choice,
                 // The upstream is skipped until a token is available again.
-                Err(_) if self.turned_away < TURNED_AWAY_MOST => continue,
-                Err(NoToken(wait)) => return Err(self.limited(wait)),
+                Err(_) if self.token_refusals < MAX_TOKEN_REFUSALS => continue,
+                Err(NoToken(wait)) => return Err(self.rate_limited(wait)),
             };
             choice.begin(clock::now(), destination.own_object());
             if let Some(answer) = self.send(&choice).await {
                 return Ok(answer);
             }
-            if self.after_miss(&destination.service) != Fate::SendAgain {
-                return Err(self.given_up());
+            if self.after_failure(&destination.service) != Fate::SendAgain {
+                return Err(self.final_refusal());
             }
         }
     }
@@ -133,7 +133,7 @@
         let token = limits.take_token(&choice, declared, self.urgency()).await;
         let waited = self.request_log.limit_ms.unwrap_or(0);
         self.request_log.limit_ms = Some(waited + clock::elapsed(started_at).as_millis() as u64);
-        self.turned_away += u32::from(token.is_err());
+        self.token_refusals += u32::from(token.is_err());
         token.map(|()| Choice {
             has_token: true,
             ..choice
@@ -143,10 +143,10 @@
     /// Sends the request once; none if there is no answer to pass on.
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
-        self.request_log.chose(choice);
+        self.request_log.selected(choice);
         self.sends.push(Sent::Not);
-        let sent = self.sends.last_mut().expect("it was just pushed");
-        let mut sending = Sending {
+        let sent = self.sends.last_mut().expect("an element was just pushed");
+        let mut outgoing = OutgoingRequest {
             head: self.head,
             parts: &self.parts,
             body: &mut self.body,
@@ -155,29 +155,29 @@
             route: &self.route.name,
             sender: self.sender,
             work: self.work,
-            ends_known: self.ends_known,
+            crashes_known: self.crashes_known,
         };
         let started_at = clock::now();
-        let missed = match send(self.traffic, choice, &mut sending, sent).await {
+        let failure = match send(self.traffic, choice, &mut outgoing, sent).await {
             Ok(answer) => {
                 let sent_ms = clock::elapsed(started_at).as_millis() as u32;
                 let told = WorkTold::Answered { sent_ms };
-                self.traffic.common.suspects.learn(self.work, told);
+                self.traffic.common.suspects.record_event(self.work, told);
                 return Some(answer);
             }
-            Err(missed) => missed,
+            Err(failure) => failure,
         };
         tracing::warn!(
             event = "send_missed",
             id = self.head.id,
             upstream = report.id,
             address = %report.address,
-            sent = ?missed.sent,
-            reason = missed.reason
+            sent = ?failure.sent,
+            reason = failure.reason
         );
-        *sent = missed.sent;
-        if missed.was_closed {
-            let look = Look {
+        *sent = failure.sent;
+        if failure.was_closed {
+            let check = CrashCheck {
                 traffic: Arc::clone(self.traffic),
                 upstream: Arc::clone(&choice.upstream),
                 id: self.head.id.clone(),
@@ -186,30 +186,33 @@
             };
             // The check continues in its own task if the caller disconnects or the request times
             // out.
-            let _ = spawn_local(look.run()).await;
+            let _ = spawn_local(check.run()).await;
         }
-        let is_lost = missed.sent == Sent::Not && !missed.lacks_token;
-        let may_be_asked = || choice.upstream.may_be_asked_again(clock::now());
-        if is_lost || (missed.sent != Sent::Not && !may_be_asked()) {
-            self.tried.push(report.id.clone());
+        let is_unreachable = failure.sent == Sent::Not && !failure.lacks_token;
+        let may_be_asked_again = || choice.upstream.may_be_asked_again(clock::now());
+        if is_unreachable || (failure.sent != Sent::Not && !may_be_asked_again()) {
+            self.excluded.push(report.id.clone());
         }
         None
     }
 
-    fn choose(&self, destination: &Destination) -> Result<Choice, Unchosen> {
+    fn select_upstream(&self, destination: &Destination) -> Result<Choice, SelectionError> {
         let service = &destination.service;
         let now = clock::now();
         if self.is_late(now) {
             return Err(self.out_of_time().into());
         }
         let view = self.traffic.common.view.load_full();
-        let nowhere = NoRoom::unreachable(NO_DOCUMENT_WAIT);
+        let unreachable = NoRoom::unreachable(DEFAULT_RETRY_AFTER);
         let Some(pool) = view.services.get(service) else {
-            return Err(self.unchosen(nowhere));
+            return Err(self.selection_error(unreachable));
         };
-        let (usual, estimate) = {
-            let mut shares = self.traffic.shares();
-            (shares.usual(service), shares.estimate(service, self.route))
+        let (average_latency, estimate) = {
+            let mut stats = self.traffic.stats();
+            (
+                stats.average_latency(service),
+                stats.estimate(service, self.route),
+            )
         };
         let settings = &self.traffic.common.settings;
         let bounds = self.traffic.common.bounds();
@@ -218,16 +221,16 @@
             by_object: destination.by_object,
             goal: self.route.goal,
             urgency: self.urgency(),
-            tried: &self.tried,
-            usual: usual.unwrap_or(self.route.goal.mul_f64(USUAL_AT_FIRST)),
+            tried: &self.excluded,
+            usual: average_latency.unwrap_or(self.route.goal.mul_f64(INITIAL_LATENCY_FRACTION)),
             estimate: &estimate,
             elapsed: now.saturating_duration_since(self.head.arrived),
             terms: pool.terms.as_ref(),
-            cold_bound: &|bears| Shares::cold_bound(&bounds, bears),
+            cold_bound: &|capacity_per_s| TrafficStats::cold_send_rate(&bounds, capacity_per_s),
             me: &settings.host,
             near_hosts: None,
         };
-        let mut no_room = nowhere;
+        let mut no_room = unreachable;
         for (region, pool) in destination.regions_to_ask(pool, self.route, self.sender) {
             let near = *region == settings.region;
             wish.near_hosts = view.near_hosts.as_deref().filter(|_| near);
@@ -241,7 +244,7 @@
                 break;
             }
         }
-        Err(self.unchosen(no_room))
+        Err(self.selection_error(no_room))
     }
 
     /// Fraction of the possible wait that the request accepts. More urgent requests accept longer
@@ -253,39 +256,39 @@
             .and_then(|customer| customer.priority);
         let priority = of_customer.unwrap_or(self.route.priority);
         let rank = f64::from(priority.saturating_sub(1));
-        (1.0 - URGENCY_STEP * rank).max(URGENCY_LEAST)
+        (1.0 - URGENCY_STEP * rank).max(MIN_URGENCY)
     }
 
-    fn after_miss(&self, service: &ServiceName) -> Fate {
-        let reached = self.sends.iter().filter(|sent| **sent != Sent::Not);
-        let reached = reached.count() as u32;
+    fn after_failure(&self, service: &ServiceName) -> Fate {
+        let sent_count = self.sends.iter().filter(|sent| **sent != Sent::Not);
+        let sent_count = sent_count.count() as u32;
         let may_have_run = self.sends.contains(&Sent::Perhaps);
-        let pointless = may_have_run && !self.route.repeatable;
+        let is_unsafe = may_have_run && !self.route.repeatable;
         let suspects = &self.traffic.common.suspects;
-        let may_send_again = !pointless
-            && reached < self.route.attempts
-            && suspects.may_be_repeated(self.work)
-            && (reached == 0 || self.take_repeat(service));
+        let may_send_again = !is_unsafe
+            && sent_count < self.route.attempts
+            && suspects.may_be_retried(self.work)
+            && (sent_count == 0 || self.take_retry(service));
         after(&self.sends, self.route.repeatable, may_send_again)
     }
 
-    fn take_repeat(&self, service: &ServiceName) -> bool {
+    fn take_retry(&self, service: &ServiceName) -> bool {
         let sharers = self.traffic.common.view.load().sharers;
         let now = clock::now();
         let bounds = self.traffic.common.bounds();
-        let mut shares = self.traffic.shares();
-        let allowed = shares.repeat(service, &bounds, sharers, self.which_try, now);
-        drop(shares);
+        let mut stats = self.traffic.stats();
+        let allowed = stats.take_retry(service, &bounds, sharers, self.caller_attempt, now);
+        drop(stats);
         metrics::counter!("stagedeck_repeats_total", "allowed" => allowed.to_string()).increment(1);
         allowed
     }
 
     fn is_late(&self, now: Instant) -> bool {
-        self.deadline.saturating_duration_since(now) < TIME_LEAST
+        self.deadline.saturating_duration_since(now) < MIN_TIME_LEFT
     }
 
     /// The refusal of a request that can't be sent to another upstream.
-    fn given_up(&self) -> Refusal {
+    fn final_refusal(&self) -> Refusal {
         if self.is_late(clock::now()) {
             return self.out_of_time();
         }
@@ -299,37 +302,37 @@
     /// because of crashes since it was admitted.
     fn not_sent(&self) -> Refusal {
         let suspects = &self.traffic.common.suspects;
-        match suspects.barred_for(self.work, self.ends_known) {
-            Some(come_back) => Refusal::NotRun {
-                cause: Cause::EndsUpstreams,
-                come_back,
+        match suspects.barred_for(self.work, self.crashes_known) {
+            Some(retry_after) => Refusal::NotRun {
+                cause: Cause::CrashesUpstreams,
+                retry_after,
             },
             None => Refusal::NotRun {
                 cause: Cause::RefusedThere,
-                come_back: NO_DOCUMENT_WAIT,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
         }
     }
 
-    fn unchosen(&self, no_room: NoRoom) -> Unchosen {
-        Unchosen {
-            refusal: self.given_up_with(not_run(&no_room)),
+    fn selection_error(&self, no_room: NoRoom) -> SelectionError {
+        SelectionError {
+            refusal: self.unless_run(not_run(&no_room)),
             passed_over: no_room.passed_over,
         }
     }
 
     /// The refusal after several upstreams had no token of their rate limit; `come_back` is from
     /// the last one.
-    fn limited(&self, come_back: Duration) -> Refusal {
-        self.given_up_with(Refusal::NotRun {
+    fn rate_limited(&self, retry_after: Duration) -> Refusal {
+        self.unless_run(Refusal::NotRun {
             cause: Cause::UpstreamsLimit,
-            come_back,
+            retry_after,
         })
     }
 
     /// Returns `not_run` if the request can't have run, otherwise the refusal that says so.
-    fn given_up_with(&self, not_run: Refusal) -> Refusal {
-        match self.given_up() {
+    fn unless_run(&self, not_run: Refusal) -> Refusal {
+        match self.final_refusal() {
             Refusal::NotRun { .. } => not_run,
             refusal => refusal,
         }
@@ -340,7 +343,7 @@
         match after(&self.sends, self.route.repeatable, false) {
             Fate::NotRun => Refusal::NotRun {
                 cause: Cause::NoTime,
-                come_back: NO_DOCUMENT_WAIT,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
             _ => Refusal::TooLate,
         }
@@ -357,6 +360,6 @@
             Lack::Limit => Cause::UpstreamsLimit,
             Lack::Room => Cause::NoRoom,
         },
-        come_back: no_room.come_back + no_room.spread.mul_f64(rand::random()),
+        retry_after: no_room.come_back + no_room.spread.mul_f64(rand::random()),
     }
 }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -14,38 +14,38 @@
 
 use super::Traffic;
 use super::head::Head;
-use super::hear::{Said, hear};
+use super::statements::{AnswerHead, apply_statement};
 
 /// Most connections to an upstream whose service declares no limit.
-const CONNECTIONS_DEFAULT: u32 = 256;
+const DEFAULT_CONNECTIONS: u32 = 256;
 
-/// A request in flight at an upstream. Dropping it ends the flight.
-struct Flight {
+/// A request in flight at an upstream. Its drop records the end of the request.
+struct InFlight {
     upstream: Arc<Upstream>,
     started_at: Instant,
-    judged: Cell<bool>,
+    is_recorded: Cell<bool>,
     work: WorkIdentity,
     /// Whether any part of the request may have left this host.
     is_sent: Cell<bool>,
 }
 
-impl Flight {
+impl InFlight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
         let started_at = clock::now();
         let mut condition = choice.upstream.condition();
         condition.sent(started_at);
         condition.works_for(choice.expectation.work.if_fetched);
         drop(condition);
-        Flight {
+        InFlight {
             upstream: Arc::clone(&choice.upstream),
             started_at,
-            judged: Cell::new(false),
+            is_recorded: Cell::new(false),
             work,
             is_sent: Cell::new(false),
         }
     }
 
-    fn judge(&self, answered: Answered) {
+    fn record(&self, answered: Answered) {
         let now = clock::now();
         let id = &self.upstream.report.id;
         let mut condition = self.upstream.condition();
@@ -55,15 +55,15 @@
         }
         drop(condition);
         self.upstream.zone().answered(now, id, answered);
-        self.judged.set(true);
+        self.is_recorded.set(true);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        let is_abandoned = !self.judged.get() && self.is_sent.get();
-        if !self.judged.get() {
-            self.judge(Answered::Unknown);
+        let is_abandoned = !self.is_recorded.get() && self.is_sent.get();
+        if !self.is_recorded.get() {
+            self.record(Answered::Unknown);
         }
         let now = clock::now();
         let mut condition = self.upstream.condition();
@@ -77,7 +77,7 @@
 
 /// A send that did not yield an answer to pass on.
 #[derive(Debug)]
-pub(super) struct Missed {
+pub(super) struct SendFailure {
     /// How far the request got.
     pub sent: Sent,
     /// Reason for the log.
@@ -89,9 +89,9 @@
     pub was_closed: bool,
 }
 
-impl Missed {
+impl SendFailure {
     fn new(sent: Sent, reason: impl ToString) -> Self {
-        Missed {
+        SendFailure {
             sent,
             reason: reason.to_string(),
             lacks_token: false,
@@ -101,7 +101,7 @@
 }
 
 /// The request to send.
-pub(super) struct Sending<'a> {
+pub(super) struct OutgoingRequest<'a> {
     pub head: &'a Head,
     pub parts: &'a Parts,
     pub body: &'a mut WorkBody,
@@ -115,7 +115,7 @@
     /// Identity of the request and its object for crash detection.
     pub work: WorkIdentity,
     /// Crashes attributed to the request when it was admitted.
-    pub ends_known: u32,
+    pub crashes_known: u32,
 }
 
 /// Sends a request once and returns the answer if it can be passed on. `sent` is set as soon as any
@@ -123,73 +123,79 @@
 pub(super) async fn send(
     traffic: &Arc<Traffic>,
     choice: &Choice,
-    sending: &mut Sending<'_>,
+    outgoing: &mut OutgoingRequest<'_>,
     sent: &mut Sent,
-) -> Result<Response<Body>, Missed> {
-    let reuse = match sending.repeatable {
+) -> Result<Response<Body>, SendFailure> {
+    let reuse = match outgoing.repeatable {
         true => Reuse::Any,
         false => Reuse::Recent,
     };
     let upstream = &choice.upstream;
-    let flight = Flight::begin(choice, sending.work);
-    let connections = choice.connections.unwrap_or(CONNECTIONS_DEFAULT);
+    let in_flight = InFlight::begin(choice, outgoing.work);
+    let connections = choice.connections.unwrap_or(DEFAULT_CONNECTIONS);
     let address = upstream.report.address;
     let connected = traffic
         .connections
-        .connect(address, connections, reuse, sending.deadline);
+        .connect(address, connections, reuse, outgoing.deadline);
     let lease = match connected.await {
         Ok(lease) => lease,
         Err(reason) => {
             count_send("not_sent");
-            flight.judge(Answered::Failed);
-            return Err(Missed::new(Sent::Not, reason));
+            in_flight.record(Answered::Failed);
+            return Err(SendFailure::new(Sent::Not, reason));
         }
     };
     if let Some(obstacle) = choice.barred(clock::now()) {
         count_send("not_sent");
         lease.give_back();
-        return Err(Missed {
+        return Err(SendFailure {
             lacks_token: matches!(obstacle, Obstacle::Limits(_)),
-            ..Missed::new(Sent::Not, obstacle)
+            ..SendFailure::new(Sent::Not, obstacle)
         });
     }
     let suspects = &traffic.common.suspects;
-    let barred_for = suspects.barred_for(sending.work, sending.ends_known);
+    let barred_for = suspects.barred_for(outgoing.work, outgoing.crashes_known);
     if barred_for.is_some() {
         count_send("not_sent");
         lease.give_back();
-        return Err(Missed::new(Sent::Not, "its work is refused since"));
+        return Err(SendFailure::new(
+            Sent::Not,
+            "refused because of crashes since it was admitted",
+        ));
     }
-    let Some(request) = request(traffic, upstream, sending) else {
-        return Err(Missed::new(Sent::Perhaps, "the body can't be sent again"));
+    let Some(request) = build_request(traffic, upstream, outgoing) else {
+        return Err(SendFailure::new(
+            Sent::Perhaps,
+            "the body can't be sent again",
+        ));
     };
     *sent = Sent::Perhaps;
-    flight.is_sent.set(true);
-    match lease.send(request, sending.deadline).await {
+    in_flight.is_sent.set(true);
+    match lease.send(request, outgoing.deadline).await {
         Ok(answer) => {
             count_send("answered");
-            take(traffic, choice, answer, sending, flight)
+            accept_answer(traffic, choice, answer, outgoing, in_flight)
         }
         Err(SendError::NotSent { reason, request }) => {
             count_send("not_sent");
-            flight.judge(Answered::Failed);
+            in_flight.record(Answered::Failed);
             if let Some(request) = request {
-                sending.body.put_back(request.into_body());
+                outgoing.body.put_back(request.into_body());
             }
-            Err(Missed::new(Sent::Not, reason))
+            Err(SendFailure::new(Sent::Not, reason))
         }
         Err(SendError::Lost { reason }) => {
             count_send("lost");
-            flight.judge(Answered::Broken);
-            Err(Missed {
+            in_flight.record(Answered::Broken);
+            Err(SendFailure {
                 was_closed: true,
-                ..Missed::new(Sent::Perhaps, reason)
+                ..SendFailure::new(Sent::Perhaps, reason)
             })
         }
         Err(SendError::Late) => {
             count_send("late");
-            choice.gave_no_answer(clock::now(), clock::elapsed(flight.started_at));
-            Err(Missed::new(Sent::Perhaps, "late"))
+            choice.gave_no_answer(clock::now(), clock::elapsed(in_flight.started_at));
+            Err(SendFailure::new(Sent::Perhaps, "late"))
         }
     }
 }
@@ -198,20 +204,20 @@
     metrics::counter!("stagedeck_sends_total", "outcome" => outcome).increment(1);
 }
 
-fn request(
+fn build_request(
     traffic: &Traffic,
     upstream: &Upstream,
-    sending: &mut Sending<'_>,
+    outgoing: &mut OutgoingRequest<'_>,
 ) -> Option<Request<Body>> {
     let names = traffic.wire_format.headers();
-    let path = sending.parts.uri.path_and_query();
-    let mut request = Request::new(sending.body.take()?);
-    *request.method_mut() = sending.parts.method.clone();
+    let path = outgoing.parts.uri.path_and_query();
+    let mut request = Request::new(outgoing.body.take()?);
+    *request.method_mut() = outgoing.parts.method.clone();
     *request.uri_mut() = path.map_or("/", |path| path.as_str()).parse().ok()?;
     let headers = request.headers_mut();
-    *headers = end_to_end(&sending.parts.headers);
-    name_sender(headers, &names.customer, sending.sender)?;
-    let left = sending.deadline.saturating_duration_since(clock::now());
+    *headers = end_to_end(&outgoing.parts.headers);
+    set_customer(headers, &names.customer, outgoing.sender)?;
+    let left = outgoing.deadline.saturating_duration_since(clock::now());
     headers.insert(&names.deadline_ms, (left.as_millis() as u64).into());
     let id = HeaderValue::from_str(&upstream.report.id).ok()?;
     headers.insert(&names.expected_upstream, id);
@@ -220,7 +226,7 @@
 
 /// Names the customer to the upstream and removes its key. Removes a customer header that the
 /// caller itself has set.
-fn name_sender(headers: &mut HeaderMap, name: &HeaderName, sender: &Sender) -> Option<()> {
+fn set_customer(headers: &mut HeaderMap, name: &HeaderName, sender: &Sender) -> Option<()> {
     if *sender == Sender::Anyone {
         return Some(());
     }
@@ -233,62 +239,75 @@
 }
 
 /// Returns an answer to pass on, if it belongs to this request and comes from the upstream itself.
-fn take(
+fn accept_answer(
     traffic: &Arc<Traffic>,
     choice: &Choice,
     answer: Response<TrackedBody>,
-    sending: &Sending<'_>,
-    flight: Flight,
-) -> Result<Response<Body>, Missed> {
+    outgoing: &OutgoingRequest<'_>,
+    in_flight: InFlight,
+) -> Result<Response<Body>, SendFailure> {
     let names = traffic.wire_format.headers();
     let headers = answer.headers();
     let is_own = headers
         .get(&names.request_id)
-        .is_some_and(|id| id.as_bytes() == sending.head.id.as_bytes());
-    if !is_own && !sending.head.id.is_empty() {
-        flight.judge(Answered::Broken);
-        return Err(Missed::new(Sent::Perhaps, "an answer to another request"));
+        .is_some_and(|id| id.as_bytes() == outgoing.head.id.as_bytes());
+    if !is_own && !outgoing.head.id.is_empty() {
+        in_flight.record(Answered::Broken);
+        return Err(SendFailure::new(
+            Sent::Perhaps,
+            "an answer to another request",
+        ));
     }
     let status = answer.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        flight.judge(Answered::Refused);
-        flight.upstream.condition().replaced();
-        return Err(Missed::new(Sent::Refused, "another has the address"));
+        in_flight.record(Answered::Refused);
+        in_flight.upstream.condition().replaced();
+        return Err(SendFailure::new(
+            Sent::Refused,
+            "another upstream process has the address",
+        ));
     }
     let statement = traffic.wire_format.parse_statement(status, headers);
     let lacks_proof = status.is_success() && !headers.contains_key(&names.signature);
     let is_own = !status.is_informational() && !lacks_proof;
-    let said = Said {
-        sent: flight.started_at,
+    let answer_head = AnswerHead {
+        sent: in_flight.started_at,
         statement,
         is_own,
     };
-    hear(&flight.upstream, &said);
-    let unread = traffic.wire_format.unknown_statements(headers);
-    traffic.unread.note(&flight.upstream.report.id, &unread);
+    apply_statement(&in_flight.upstream, &answer_head);
+    let unknown = traffic.wire_format.unknown_statements(headers);
+    traffic
+        .unknown_statements
+        .note(&in_flight.upstream.report.id, &unknown);
     let load = headers.get(&names.load).and_then(|load| load.to_str().ok());
     // An upstream that asks to rest is idle and accepts nothing, so its load is meaningless.
     let load = load.filter(|_| statement.rest.is_none());
     if let Some(load) = load.and_then(|load| traffic.wire_format.parse_load(load)) {
-        let reporter = &flight.upstream;
+        let reporter = &in_flight.upstream;
         reporter.reported(clock::now(), load.running, load.waiting);
     }
     if headers.contains_key(&names.not_run) {
-        flight.judge(Answered::Refused);
-        return Err(Missed::new(Sent::Refused, status));
+        in_flight.record(Answered::Refused);
+        return Err(SendFailure::new(Sent::Refused, status));
     }
     if !is_own {
-        flight.judge(Answered::Broken);
-        return Err(Missed::new(Sent::Perhaps, "not an upstream's own answer"));
+        in_flight.record(Answered::Broken);
+        return Err(SendFailure::new(
+            Sent::Perhaps,
+            "not an upstream's own answer",
+        ));
     }
-    flight.judge(Answered::Whole);
+    in_flight.record(Answered::Whole);
     if status.is_success() {
         let now = clock::now();
-        let took = now - flight.started_at;
-        traffic.shares().learn(now, sending.route, choice, took);
+        let took = now - in_flight.started_at;
+        traffic
+            .stats()
+            .record_answer(now, outgoing.route, choice, took);
     }
     let (mut parts, body) = answer.into_parts();
     parts.headers = end_to_end(&parts.headers);
-    let body = Holding::new(body, flight).boxed_unsync();
+    let body = Holding::new(body, in_flight).boxed_unsync();
     Ok(Response::from_parts(parts, body))
 }
--- a/crates/gateway/src/traffic/server.rs
+++ b/crates/gateway/src/traffic/server.rs
@@ -25,14 +25,14 @@
 /// Pause after a failed accept, which is usually caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Smallest buffer for heads that hyper accepts, in bytes.
-const HEAD_BYTES_LEAST: usize = 8_192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 /// Fraction of the open files available to callers' connections. The rest is for upstreams, the
 /// store and other hosts.
-const CALLERS_SHARE: f64 = 0.6;
+const CALLER_CONNECTIONS_FRACTION: f64 = 0.6;
 
 /// Purpose of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Side {
+pub(super) enum Purpose {
     /// Callers' requests.
     Callers,
     /// Callers' host lookups, and readiness checks.
@@ -42,7 +42,11 @@
 }
 
 /// Accepts connections until the task is aborted.
-pub(super) fn accept(traffic: &Arc<Traffic>, listener: TcpListener, side: Side) -> JoinHandle<()> {
+pub(super) fn accept(
+    traffic: &Arc<Traffic>,
+    listener: TcpListener,
+    purpose: Purpose,
+) -> JoinHandle<()> {
     let traffic = Arc::clone(traffic);
     spawn_local(async move {
         let listener = match tokio::net::TcpListener::from_std(listener) {
@@ -52,23 +56,25 @@
                 return;
             }
         };
-        let most = f64::from(traffic.common.settings.open_files) * CALLERS_SHARE;
+        let max_connections =
+            f64::from(traffic.common.settings.open_files) * CALLER_CONNECTIONS_FRACTION;
         loop {
             match listener.accept().await {
                 // The connection is closed without reading, so that the caller can try another
                 // host.
                 Ok(_)
-                    if side == Side::Callers
-                        && f64::from(traffic.open.load(Ordering::Relaxed)) >= most =>
+                    if purpose == Purpose::Callers
+                        && f64::from(traffic.open_connections.load(Ordering::Relaxed))
+                            >= max_connections =>
                 {
                     tracing::warn!(
                         event = "connection_refused",
-                        open = traffic.open.load(Ordering::Relaxed)
+                        open = traffic.open_connections.load(Ordering::Relaxed)
                     );
                 }
                 Ok((stream, peer)) => {
                     let _ = stream.set_nodelay(true);
-                    spawn_local(serve(Arc::clone(&traffic), stream, peer, side));
+                    spawn_local(serve(Arc::clone(&traffic), stream, peer, purpose));
                 }
                 Err(error) => {
                     tracing::warn!(event = "accept_failed", %error);
@@ -80,23 +86,23 @@
 }
 
 /// Counts an open connection of a caller while it exists.
-struct Open(Arc<Traffic>);
+struct OpenConnection(Arc<Traffic>);
 
-impl Open {
+impl OpenConnection {
     fn new(traffic: &Arc<Traffic>) -> Self {
-        traffic.open.fetch_add(1, Ordering::Relaxed);
-        Open(Arc::clone(traffic))
+        traffic.open_connections.fetch_add(1, Ordering::Relaxed);
+        OpenConnection(Arc::clone(traffic))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn serve(traffic: Arc<Traffic>, stream: TcpStream, peer: SocketAddr, side: Side) {
-    let _open = (side == Side::Callers).then(|| Open::new(&traffic));
+async fn serve(traffic: Arc<Traffic>, stream: TcpStream, peer: SocketAddr, purpose: Purpose) {
+    let _open = (purpose == Purpose::Callers).then(|| OpenConnection::new(&traffic));
     let limits = traffic.common.view.load().limits;
     let mut stage = traffic.common.stage.clone();
     let leaving = Arc::clone(&traffic);
@@ -105,10 +111,10 @@
     let service = service_fn(move |request| {
         let traffic = Arc::clone(&traffic);
         async move {
-            let mut answer = match side {
-                Side::Callers => forward::answer(&traffic, request).await,
-                Side::Checks => check(&traffic, &request),
-                Side::Metrics => operator::answer(&traffic, &request, is_own),
+            let mut answer = match purpose {
+                Purpose::Callers => forward::answer(&traffic, request).await,
+                Purpose::Checks => check(&traffic, &request),
+                Purpose::Metrics => operator::answer(&traffic, &request, is_own),
             };
             if traffic.is_leaving() {
                 let close = HeaderValue::from_static("close");
@@ -121,22 +127,22 @@
         .timer(TokioTimer::new())
         // hyper counts the idle time between requests as time for reading the next head.
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.head_bytes.max(HEAD_BYTES_LEAST))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     pin!(connection);
     let closing = async {
         // Once a leaving host takes no new connections, its idle connections are closed.
         let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-        sleep(leaving.takes_new_for()).await;
+        sleep(leaving.accept_time()).await;
     };
     tokio::select! {
-        ended = connection.as_mut() => return note(ended),
+        ended = connection.as_mut() => return log_end(ended),
         () = closing => connection.as_mut().graceful_shutdown(),
     }
-    note(connection.await);
+    log_end(connection.await);
 }
 
-fn note(ended: Result<(), hyper::Error>) {
+fn log_end(ended: Result<(), hyper::Error>) {
     if let Err(error) = ended {
         tracing::debug!(event = "connection_ended", %error);
     }
--- a/crates/gateway/src/traffic/hear.rs
+++ b/crates/gateway/src/traffic/statements.rs
@@ -9,10 +9,10 @@
 use steering::statement::{LimitChange, LimitNamed, RestAsked, Statement};
 
 /// Most unknown statement names that are remembered.
-const UNREAD_MOST: usize = 32;
+const MAX_UNKNOWN_STATEMENTS: usize = 32;
 
 /// The head of an answer, as far as it concerns the upstream.
-pub(super) struct Said {
+pub(super) struct AnswerHead {
     /// When the request was sent.
     pub sent: Instant,
     /// What the head declares.
@@ -23,20 +23,20 @@
 }
 
 /// Applies what the head of an answer declares about its upstream.
-pub(super) fn hear(upstream: &Upstream, said: &Said) {
-    let statement = &said.statement;
+pub(super) fn apply_statement(upstream: &Upstream, head: &AnswerHead) {
+    let statement = &head.statement;
     let now = clock::now();
     if statement.leaves && upstream.condition().stated.leave(now) {
         let (id, born_ms) = (&upstream.report.id, upstream.report.born_ms);
         tracing::info!(event = "upstream_leaves", upstream = id, born_ms);
     }
     if let Some(asked) = statement.rest {
-        hear_rest(upstream, now, asked);
+        apply_rest(upstream, now, asked);
     }
-    hear_limit(upstream, now, said);
+    apply_limit(upstream, now, head);
 }
 
-fn hear_rest(upstream: &Upstream, now: Instant, asked: RestAsked) {
+fn apply_rest(upstream: &Upstream, now: Instant, asked: RestAsked) {
     let rest = asked.granted();
     if upstream.condition().stated.rest(now, rest) {
         let (id, rest_ms) = (&upstream.report.id, rest.as_millis() as u64);
@@ -45,13 +45,13 @@
     }
 }
 
-fn hear_limit(upstream: &Upstream, now: Instant, said: &Said) {
-    let named = said.statement.limit;
-    if named.is_none() && !said.is_own {
+fn apply_limit(upstream: &Upstream, now: Instant, head: &AnswerHead) {
+    let named = head.statement.limit;
+    if named.is_none() && !head.is_own {
         return;
     }
     let granted = named.and_then(LimitNamed::granted);
-    let change = upstream.condition().stated.limit(now, said.sent, granted);
+    let change = upstream.condition().stated.limit(now, head.sent, granted);
     let (id, born_ms) = (&upstream.report.id, upstream.report.born_ms);
     match (change, named) {
         (Some(LimitChange::Named), Some(named)) => {
@@ -73,21 +73,21 @@
 
 /// Names of unknown statements. Each is logged once.
 #[derive(Debug, Default)]
-pub(super) struct Unread(Mutex<BTreeSet<String>>);
+pub(super) struct UnknownStatements(Mutex<BTreeSet<String>>);
 
-impl Unread {
+impl UnknownStatements {
     /// Counts the unknown statements in an answer of `upstream`.
     pub fn note(&self, upstream: &str, names: &[&HeaderName]) {
         if names.is_empty() {
             return;
         }
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for name in names.iter().map(|name| name.as_str()) {
-            if !known.contains(name) {
-                if known.len() >= UNREAD_MOST {
+            if !seen.contains(name) {
+                if seen.len() >= MAX_UNKNOWN_STATEMENTS {
                     continue;
                 }
-                known.insert(name.to_owned());
+                seen.insert(name.to_owned());
                 tracing::warn!(event = "statement_unread", upstream, name);
             }
             metrics::counter!("stagedeck_unread_statements_total", "name" => name.to_owned())
--- a/crates/gateway/src/traffic/shares.rs
+++ b/crates/gateway/src/traffic/stats.rs
@@ -16,19 +16,19 @@
 /// Weight of the newest response time in a service's moving average.
 const NEWEST_WEIGHT: f64 = 0.05;
 /// Smallest fraction of a response time that counts as work, whatever wait was expected.
-const WORK_LEAST: f64 = 0.3;
+const MIN_WORK_FRACTION: f64 = 0.3;
 /// Cap on a response time, as a multiple of the average, so that a few slow upstreams do not
 /// dominate the average.
-const USUAL_CAP: f64 = 3.0;
+const LATENCY_CAP_FACTOR: f64 = 3.0;
 
 /// Adaptive state of this host.
-pub(super) struct Shares {
+pub(super) struct TrafficStats {
     region: RegionName,
-    repeats: HashMap<ServiceName, RepeatPart>,
-    parts: HashMap<RuleName, PartSpread>,
-    regions: HashMap<ServiceName, RegionSpread>,
+    retry_shares: HashMap<ServiceName, RepeatPart>,
+    service_spreads: HashMap<RuleName, PartSpread>,
+    region_shares: HashMap<ServiceName, RegionSpread>,
     /// Moving average of the time from a send to the head of its answer, in milliseconds.
-    usual_ms: HashMap<ServiceName, f64>,
+    average_latency_ms: HashMap<ServiceName, f64>,
     /// Estimated work time of each route at each service.
     estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
     /// How long callers of each route wait.
@@ -37,14 +37,14 @@
     version: u64,
 }
 
-impl Shares {
+impl TrafficStats {
     pub fn new(settings: &GatewaySettings) -> Self {
-        Shares {
+        TrafficStats {
             region: settings.region.clone(),
-            repeats: HashMap::new(),
-            parts: HashMap::new(),
-            regions: HashMap::new(),
-            usual_ms: HashMap::new(),
+            retry_shares: HashMap::new(),
+            service_spreads: HashMap::new(),
+            region_shares: HashMap::new(),
+            average_latency_ms: HashMap::new(),
             estimates: HashMap::new(),
             patience: HashMap::new(),
             version: 0,
@@ -52,41 +52,55 @@
     }
 
     /// Selects the service for a request of a route, by weight.
-    pub fn part<'a>(&mut self, route: &'a Route) -> &'a ServiceName {
+    pub fn pick_service<'a>(&mut self, route: &'a Route) -> &'a ServiceName {
         if route.parts.len() == 1 {
             return &route.parts[0].service;
         }
-        let spread = self.parts.entry(route.name.clone()).or_default();
+        let spread = self.service_spreads.entry(route.name.clone()).or_default();
         &route.parts[spread.pick(&route.parts)].service
     }
 
     /// Whether a request stays in this host's region. `place` is the position of its object, by
     /// which the share of the region applies.
-    pub fn stays(&mut self, service: &str, pool: &ServicePool, place: f64, now: Instant) -> bool {
-        if !self.regions.contains_key(service) {
-            let spread = RegionSpread::new(by_room(pool, &self.region, now, self.usual(service)));
-            self.regions.insert(service.to_owned(), spread);
+    pub fn stays_in_region(
+        &mut self,
+        service: &str,
+        pool: &ServicePool,
+        place: f64,
+        now: Instant,
+    ) -> bool {
+        if !self.region_shares.contains_key(service) {
+            let spread = RegionSpread::new(free_capacity_fraction(
+                pool,
+                &self.region,
+                now,
+                self.average_latency(service),
+            ));
+            self.region_shares.insert(service.to_owned(), spread);
         }
-        let spread = self.regions.get_mut(service);
+        let spread = self.region_shares.get_mut(service);
         spread.is_none_or(|spread| spread.stays(place))
     }
 
     /// Counts a request to a service for its retry budget.
-    pub fn request(&mut self, service: &str, bounds: &Bounds, now: Instant) {
-        self.repeat_part(service, bounds).request(now);
+    pub fn count_request(&mut self, service: &str, bounds: &Bounds, now: Instant) {
+        self.retry_share(service, bounds).request(now);
     }
 
     /// Whether a caller of a route has sent the request before, judged by how long it will wait.
-    pub fn which_try(&mut self, route: &str, time: Duration) -> Try {
+    pub fn caller_attempt(&mut self, route: &str, patience: Duration) -> Try {
         if !self.patience.contains_key(route) {
             self.patience.insert(route.to_owned(), Patience::default());
         }
-        let patience = self.patience.get_mut(route).expect("it is there");
-        patience.take(time)
+        let route_patience = self
+            .patience
+            .get_mut(route)
+            .expect("the entry exists or was just inserted");
+        route_patience.take(patience)
     }
 
     /// Takes a retry from the service's budget. Returns whether it is allowed.
-    pub fn repeat(
+    pub fn take_retry(
         &mut self,
         service: &str,
         bounds: &Bounds,
@@ -94,34 +108,37 @@
         of: Try,
         now: Instant,
     ) -> bool {
-        self.repeat_part(service, bounds).repeat(now, sharers, of)
+        self.retry_share(service, bounds).repeat(now, sharers, of)
     }
 
-    fn repeat_part(&mut self, service: &str, bounds: &Bounds) -> &mut RepeatPart {
+    fn retry_share(&mut self, service: &str, bounds: &Bounds) -> &mut RepeatPart {
         let Bounds {
             retry_ratio,
             retry_slack,
             retry_window,
             ..
         } = *bounds;
-        if !self.repeats.contains_key(service) {
-            self.repeats
+        if !self.retry_shares.contains_key(service) {
+            self.retry_shares
                 .insert(service.to_owned(), RepeatPart::default());
         }
-        let part = self.repeats.get_mut(service).expect("it is there");
+        let part = self
+            .retry_shares
+            .get_mut(service)
+            .expect("the entry exists or was just inserted");
         part.set_bound(retry_ratio, retry_slack, retry_window);
         part
     }
 
     /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
     /// serve.
-    pub fn cold_bound(bounds: &Bounds, bears: f64) -> f64 {
-        bears * bounds.warm_up_overage + bounds.warm_up_slack
+    pub fn cold_send_rate(bounds: &Bounds, capacity_per_s: f64) -> f64 {
+        capacity_per_s * bounds.warm_up_overage + bounds.warm_up_slack
     }
 
     /// Average response time of the service; none before its first answer.
-    pub fn usual(&self, service: &str) -> Option<Duration> {
-        self.usual_ms.get(service).copied().map(from_ms)
+    pub fn average_latency(&self, service: &str) -> Option<Duration> {
+        self.average_latency_ms.get(service).copied().map(from_ms)
     }
 
     /// Estimated work time of a route at a service.
@@ -129,7 +146,10 @@
         if !self.estimates.contains_key(service) {
             self.estimates.insert(service.to_owned(), HashMap::new());
         }
-        let routes = self.estimates.get_mut(service).expect("it is there");
+        let routes = self
+            .estimates
+            .get_mut(service)
+            .expect("the entry exists or was just inserted");
         if !routes.contains_key(&route.name) {
             routes.insert(route.name.clone(), Estimate::new(route.goal));
         }
@@ -137,12 +157,12 @@
     }
 
     /// Learns from the response time of a request.
-    pub fn learn(&mut self, now: Instant, route: &str, choice: &Choice, took: Duration) {
+    pub fn record_answer(&mut self, now: Instant, route: &str, choice: &Choice, took: Duration) {
         let service = &choice.upstream.report.service;
         let expected = &choice.expectation;
-        let least = took.mul_f64(WORK_LEAST);
+        let least = took.mul_f64(MIN_WORK_FRACTION);
         let work = took.saturating_sub(expected.wait).max(least);
-        self.answered(service, work);
+        self.update_average(service, work);
         let routes = self.estimates.get_mut(service);
         // A new document may have removed the route meanwhile.
         let Some(estimate) = routes.and_then(|routes| routes.get_mut(route)) else {
@@ -159,7 +179,7 @@
         }
         self.version = view.version;
         let names: HashSet<&RuleName> = view.table.names().collect();
-        self.parts.retain(|name, _| names.contains(name));
+        self.service_spreads.retain(|name, _| names.contains(name));
         self.patience.retain(|name, _| names.contains(name));
         for routes in self.estimates.values_mut() {
             routes.retain(|name, _| names.contains(name));
@@ -168,11 +188,13 @@
     }
 
     /// Updates the service's average response time.
-    fn answered(&mut self, service: &str, took: Duration) {
+    fn update_average(&mut self, service: &str, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
-        match self.usual_ms.get_mut(service) {
-            Some(usual) => *usual += NEWEST_WEIGHT * (took_ms.min(*usual * USUAL_CAP) - *usual),
-            None => drop(self.usual_ms.insert(service.to_owned(), took_ms)),
+        match self.average_latency_ms.get_mut(service) {
+            Some(average) => {
+                *average += NEWEST_WEIGHT * (took_ms.min(*average * LATENCY_CAP_FACTOR) - *average)
+            }
+            None => drop(self.average_latency_ms.insert(service.to_owned(), took_ms)),
         }
     }
 
@@ -182,27 +204,27 @@
         view: &Arc<RouteView>,
         bounds: &Bounds,
         now: Instant,
-        passed: Duration,
+        elapsed: Duration,
     ) {
         self.forget_routes(view);
         // The step is half of the shift allowed between two 2 s windows, which leaves room for
         // random variation.
-        let step = bounds.max_region_shift / 2.0 / 2.0 * passed.as_secs_f64().min(2.0);
-        for (service, spread) in &mut self.regions {
-            let usual = self.usual_ms.get(service).copied().map(from_ms);
+        let step = bounds.max_region_shift / 2.0 / 2.0 * elapsed.as_secs_f64().min(2.0);
+        for (service, spread) in &mut self.region_shares {
+            let average = self.average_latency_ms.get(service).copied().map(from_ms);
             let Some(pool) = view.services.get(service) else {
                 continue;
             };
             let own = pool.regions.get(&self.region);
             let hosts = view.near_hosts.as_ref().map_or(1, Vec::len);
-            let own_use = own.map_or(f64::INFINITY, |own| own.use_of_room(now, hosts, usual));
+            let own_use = own.map_or(f64::INFINITY, |own| own.use_of_room(now, hosts, average));
             let others = pool.regions.iter();
             let others = others.filter(|(region, _)| **region != self.region);
-            let others_use = others.map(|(_, pool)| pool.use_of_room(now, hosts, usual));
+            let others_use = others.map(|(_, pool)| pool.use_of_room(now, hosts, average));
             let before = spread.own();
             let others_use = others_use.fold(f64::INFINITY, f64::min);
-            let by_room = by_room(pool, &self.region, now, usual);
-            spread.adapt(step, own_use, others_use, by_room);
+            let free_capacity_fraction = free_capacity_fraction(pool, &self.region, now, average);
+            spread.adapt(step, own_use, others_use, free_capacity_fraction);
             if before != spread.own() {
                 let own = spread.own();
                 tracing::info!(event = "region_share", service, own, own_use);
@@ -214,8 +236,13 @@
 }
 
 /// The region's fraction of the service's free capacity.
-fn by_room(pool: &ServicePool, region: &RegionName, now: Instant, usual: Option<Duration>) -> f64 {
-    let room = |pool: &RegionPool| pool.room(now, usual);
+fn free_capacity_fraction(
+    pool: &ServicePool,
+    region: &RegionName,
+    now: Instant,
+    average: Option<Duration>,
+) -> f64 {
+    let room = |pool: &RegionPool| pool.room(now, average);
     let own = pool.regions.get(region).map_or(0.0, room);
     let all = pool.regions.values().map(room).sum();
     share_by_room(own, all, pool.regions.len())
