--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -1,4 +1,4 @@
-//! How far a host has come in a feed of the store.
+//! Progress of this host in a feed of the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,93 +11,95 @@
 use store::RecordError;
 use tokio::sync::Notify;
 
-use super::heard::Heard;
+use super::feed_age::FeedAge;
 use super::origin::Source;
-use super::waits::{Wait, Waits};
+use super::waits::{LongestWait, Wait};
 use crate::settings::{Bounds, GatewaySettings};
 
-/// Longest time for which other hosts are asked for what is missing, in two questions.
-const GAP_LIMIT: Duration = HOST_ANSWER_LIMIT.saturating_mul(2);
-/// Time in which every host should know of a new one, which takes a part of shared
-/// bounds: some seconds after its start it gets requests.
-const HOSTS_WITHIN: Duration = Duration::from_secs(4);
+/// Longest time to wait for other hosts to provide missing records, in two requests.
+const GAP_TIMEOUT: Duration = HOST_ANSWER_LIMIT.saturating_mul(2);
+/// Time within which every host should know of a new host, which takes a share of common limits. A
+/// new host gets requests some seconds after its start.
+const HOSTS_APPLY_TIME: Duration = Duration::from_secs(4);
 
-/// What another host has taken from a feed, and this one has not.
+/// Records that another host has applied and this host has not.
 #[derive(Debug, Clone)]
 pub(super) struct Missing {
     /// The other host.
-    pub teller: HostEntry,
-    /// Digest of all that it has taken.
+    pub sender: HostEntry,
+    /// Digest of all records that the other host has applied.
     pub digest: FeedDigest,
 }
 
-/// How far this host has come in a feed, and who asks for it.
+/// Progress of this host in a feed, and whether this host polls the store for it.
 pub(super) struct Follower {
     feed: Feed,
-    /// None before the first answer, and once the history is gone.
+    /// Version up to which records were applied; none before the first answer, and after the
+    /// history needed to continue was lost.
     pub version: Option<FeedVersion>,
-    /// Newest version that was ever seen. An answer of an earlier one is stale.
+    /// Newest version seen. An answer with an earlier version is stale.
     pub newest: FeedVersion,
-    /// The age of what is known, for the thread that answers callers.
-    heard: Arc<Heard>,
-    /// What held this host up since then.
-    waits: Waits,
-    /// Since when nothing has been heard from the store.
-    lost_since: Option<Instant>,
+    /// Age of the feed's state, shared with the traffic thread.
+    age: Arc<FeedAge>,
+    /// Waits since the feed's state was last renewed.
+    longest_wait: LongestWait,
+    /// Start of the first call that failed since the store was last heard from, directly or through
+    /// another host; none if no call failed.
+    store_lost_since: Option<Instant>,
     pub lead: Lead,
-    /// What was lately taken, for hosts that lack some of it.
+    /// Recently applied records, for hosts that lack some of them.
     pub recent: Recent,
-    /// Told when something is missing.
+    /// Notified when records are missing.
     pub gap: Rc<Notify>,
-    /// Told when this host has done what it can to learn it from others.
+    /// Notified when the request to another host for missing records has completed.
     pub gap_tried: Rc<Notify>,
-    /// What was taken while something before it was missing. Others lack it as well: it is
-    /// passed on with what fills the gap.
+    /// Records applied while earlier ones were missing. Other hosts lack the earlier ones too, so
+    /// these are passed on together with the records that close the gap.
     held_back: Vec<Record>,
-    /// Who told of what is missing.
+    /// The missing records, and the host that has them.
     missing: Option<Missing>,
-    /// Whether another host is being asked for what is missing.
+    /// Whether missing records are being requested from another host.
     is_filling: bool,
-    /// Whether something was missing when this host was last told. Where it still is
-    /// after this host has asked, all is read again.
-    lacks: bool,
+    /// Whether records were missing after the last update. If records are still missing after the
+    /// next one, the whole feed is read again.
+    had_gap: bool,
 }
 
 impl Follower {
-    pub fn new(feed: Feed, settings: &GatewaySettings, heard: Arc<Heard>) -> Self {
+    pub fn new(feed: Feed, settings: &GatewaySettings, age: Arc<FeedAge>) -> Self {
         Follower {
             feed,
             version: None,
             newest: 0,
-            heard,
-            waits: Waits::default(),
-            lost_since: None,
+            age,
+            longest_wait: LongestWait::default(),
+            store_lost_since: None,
             recent: Recent::default(),
             held_back: Vec::new(),
             missing: None,
             lead: Lead::new(
                 &settings.host,
                 &feed.to_string(),
-                tightest(feed, &settings.bounds),
+                shortest_bound(feed, &settings.bounds),
             ),
             gap: Rc::default(),
             gap_tried: Rc::default(),
             is_filling: false,
-            lacks: false,
+            had_gap: false,
         }
     }
 
-    /// Notes that this host has waited since `begun` before it could go on with the feed.
-    pub fn waited(&mut self, wait: Wait, begun: Instant) {
-        self.waits.note(wait, clock::elapsed(begun));
+    /// Records a wait that began at `started_at` and is over.
+    pub fn record_wait(&mut self, wait: Wait, started_at: Instant) {
+        self.longest_wait.record(wait, clock::elapsed(started_at));
     }
 
-    /// Takes into the lead that the store was heard, or a host that had asked it. Where this
-    /// took long, the log tells how old the belief had become, and what it had waited for most.
-    fn renew(&mut self, source: Source, take: impl FnOnce(&mut Lead)) {
+    /// Renews the age of the feed's state. Logs the age and the longest wait if the state had
+    /// become stale.
+    fn renew(&mut self, source: Source, renew_schedule: impl FnOnce(&mut Lead)) {
         let now = clock::now();
         let age = self.lead.age(now).unwrap_or_default();
-        let longest = self.waits.take();
+        let longest = self.longest_wait.take();
         if age > self.lead.stale_after() {
             tracing::info!(
                 event = "feed_renewed_late",
@@ -108,18 +110,18 @@
                 longest_ms = longest.map(|(_, took)| took.as_millis() as u64),
             );
         }
-        take(&mut self.lead);
+        renew_schedule(&mut self.lead);
         if let Some(as_of) = self.lead.as_of() {
-            self.heard.note(as_of);
+            self.age.record(as_of);
         }
     }
 
-    /// Takes an answer of the store, which was true at `as_of`.
-    pub fn answered(&mut self, version: FeedVersion, as_of: Instant) {
+    /// Records an answer of the store that was valid at `as_of`.
+    pub fn store_answered(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::Store, |lead| lead.asked(as_of));
         self.advance(version);
         self.missing = None;
-        if let Some(since) = self.lost_since.take() {
+        if let Some(since) = self.store_lost_since.take() {
             let away_ms = clock::elapsed(since).as_millis() as u64;
             tracing::info!(event = "store_regained", feed = %self.feed, away_ms);
         }
@@ -130,24 +132,29 @@
         self.newest = self.newest.max(version);
     }
 
-    /// Notes that all was learned from another host, up to `version`.
-    pub fn learned(&mut self, version: FeedVersion, as_of: Instant) {
+    /// Records that the whole feed up to `version` was read from another host.
+    pub fn loaded(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.learned(as_of));
         self.advance(version);
     }
 
-    /// Notes that another host has told what was missing, up to `version`.
-    pub fn filled(&mut self, version: FeedVersion, as_of: Instant) {
+    /// Records that another host has provided the missing records up to `version`.
+    pub fn gap_filled(&mut self, version: FeedVersion, as_of: Instant) {
         self.renew(Source::State, |lead| lead.filled(as_of));
         self.advance(version);
-        self.lacks = false;
+        self.had_gap = false;
     }
 
-    /// Keeps for others what was taken up to `version`, all of the feed or a part of it, with
-    /// what was held back; what they are to be told.
-    pub fn keep(&mut self, version: FeedVersion, whole: bool, taken: Vec<Record>) -> Vec<Record> {
+    /// Keeps applied records for other hosts, together with those held back. `whole` says that they
+    /// replace the whole feed. Returns the records to pass on.
+    pub fn keep_recent(
+        &mut self,
+        version: FeedVersion,
+        whole: bool,
+        applied: Vec<Record>,
+    ) -> Vec<Record> {
         let mut records = std::mem::take(&mut self.held_back);
-        records.extend(taken);
+        records.extend(applied);
         match whole {
             true => self.recent.restart(version),
             false => self.recent.take(version, &records),
@@ -155,51 +162,62 @@
         records
     }
 
-    /// Holds back what was taken, since something before it is missing.
-    pub fn hold_back(&mut self, taken: Vec<Record>) {
-        self.held_back.extend(taken);
+    /// Holds records back while earlier ones are missing.
+    pub fn hold_back(&mut self, applied: Vec<Record>) {
+        self.held_back.extend(applied);
     }
 
-    /// What is missing, once; it is being asked for until [`Follower::end_filling`].
+    /// Takes the missing records to request. The request counts as in progress until
+    /// [`Follower::end_filling`].
     pub fn take_missing(&mut self) -> Option<Missing> {
         let missing = self.missing.take();
         self.is_filling = missing.is_some();
         missing
     }
 
-    /// Notes that another host has been asked for what was missing, with or without success.
+    /// Records that the request to another host has completed, successfully or not.
     pub fn end_filling(&mut self) {
         self.is_filling = false;
         self.gap_tried.notify_one();
     }
 
-    /// Time for which this host need not ask the store: others tell, or may still tell what
-    /// is missing.
-    pub fn rests(&self, now: Instant) -> Duration {
+    /// Time for which this host need not poll the store, because other hosts send updates or may
+    /// still provide missing records.
+    pub fn delay(&self, now: Instant) -> Duration {
         let may_be_filled = self.is_filling || self.missing.is_some();
         match may_be_filled {
-            true => self.lead.fresh_for(now).unwrap_or(GAP_LIMIT).min(GAP_LIMIT),
+            true => self
+                .lead
+                .fresh_for(now)
+                .unwrap_or(GAP_TIMEOUT)
+                .min(GAP_TIMEOUT),
             false => self.lead.rests(now),
         }
     }
 
-    /// Takes what another host has told, which goes up to `version`; it is what is missing
-    /// where there is a gap.
-    pub fn told(&mut self, used: Use, version: FeedVersion, as_of: Instant, missing: Missing) {
-        // The teller reaches the store.
-        self.lost_since = None;
-        let from = &missing.teller.name;
-        match used {
-            Use::Known => self.renew(Source::News, |lead| lead.told(from, used, as_of)),
+    /// Records an update up to `version` from another host. `missing` describes what to request if
+    /// there is a gap.
+    pub fn receive_update(
+        &mut self,
+        kind: Use,
+        version: FeedVersion,
+        as_of: Instant,
+        missing: Missing,
+    ) {
+        // The sender of the update reaches the store.
+        self.store_lost_since = None;
+        let from = &missing.sender.name;
+        match kind {
+            Use::Known => self.renew(Source::News, |lead| lead.told(from, kind, as_of)),
             Use::Take => {
-                self.renew(Source::News, |lead| lead.told(from, used, as_of));
+                self.renew(Source::News, |lead| lead.told(from, kind, as_of));
                 self.advance(version);
-                self.lacks = false;
+                self.had_gap = false;
             }
             Use::Gap => {
-                self.lead.told(from, used, as_of);
-                tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.lacks);
-                if std::mem::replace(&mut self.lacks, true) {
+                self.lead.told(from, kind, as_of);
+                tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.had_gap);
+                if std::mem::replace(&mut self.had_gap, true) {
                     self.version = None;
                 }
                 self.missing = Some(missing);
@@ -208,26 +226,26 @@
         }
     }
 
-    /// Takes the failure of a call that began at `begun`.
-    pub fn failed(&mut self, begun: Instant, error: &RecordError) {
+    /// Records a failed call to the store that began at `started_at`.
+    pub fn store_failed(&mut self, started_at: Instant, error: &RecordError) {
         if *error == RecordError::HistoryGone {
             tracing::info!(event = "history_gone", feed = %self.feed);
             self.version = None;
             return;
         }
         self.lead.failed();
-        if self.lost_since.is_none() {
+        if self.store_lost_since.is_none() {
             tracing::warn!(event = "store_lost", feed = %self.feed, %error);
-            self.lost_since = Some(begun);
+            self.store_lost_since = Some(started_at);
         }
     }
 }
 
-/// Shortest time in which what a feed says must be heeded.
-pub(super) fn tightest(feed: Feed, bounds: &Bounds) -> Duration {
+/// Shortest time within which changes of a feed must be applied.
+pub(super) fn shortest_bound(feed: Feed, bounds: &Bounds) -> Duration {
     match feed {
-        Feed::Routes => bounds.apply,
-        Feed::Upstreams => bounds.drain,
-        Feed::Hosts => HOSTS_WITHIN,
+        Feed::Routes => bounds.document_apply_time,
+        Feed::Upstreams => bounds.drain_time,
+        Feed::Hosts => HOSTS_APPLY_TIME,
     }
 }
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -1,5 +1,5 @@
-//! Asks other hosts for tokens of limits that upstreams name, and gives out those of the parts
-//! that this host holds.
+//! Requests tokens of upstreams' rate limits from other hosts, and grants tokens of the shares that
+//! this host holds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,36 +12,36 @@
 use tokio::task::spawn_local;
 
 use super::Control;
-use crate::limits::{Dry, LimitCall};
+use crate::limits::{LimitCall, NoToken};
 
-/// Longest wait for a token: a round trip between far regions, or some within one. Another
-/// upstream would have begun by then.
-const WAIT_MOST: Duration = Duration::from_millis(120);
-/// Time for which the upstream is passed over where that was not enough for all holders: those
-/// that were not asked yet may well have one.
-const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(20);
+/// Longest wait for a token: one round trip between distant regions, or several within a region.
+/// Choosing another upstream would be faster than waiting longer.
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time for which an upstream is skipped when not all holders could be asked in time, since the
+/// remaining ones may have a token.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Control {
-    /// Answers requests that ask for tokens, for ever.
+    /// Answers token requests of the traffic thread until the task is aborted.
     pub(super) async fn serve_limits(self: Rc<Self>, mut calls: UnboundedReceiver<LimitCall>) {
         while let Some(call) = calls.recv().await {
             let control = Rc::clone(&self);
             spawn_local(async move {
-                let token = control.token(&call.ask).await;
-                // Who has asked may have left.
+                let token = control.obtain_token(&call.ask).await;
+                // The request may have been dropped.
                 let _ = call.answer.send(token);
             });
         }
     }
 
     /// Asks the holders of a limit one after the other.
-    async fn token(&self, ask: &LimitTokenRequest) -> Result<(), Dry> {
+    async fn obtain_token(&self, ask: &LimitTokenRequest) -> Result<(), NoToken> {
         let start = ask.start();
-        let end = clock::now() + WAIT_MOST;
+        let deadline = clock::now() + TOKEN_TIMEOUT;
         loop {
             let now = clock::now();
-            if now >= end {
-                return Err(Dry(ASKED_AGAIN_AFTER));
+            if now >= deadline {
+                return Err(NoToken(RETRY_DELAY));
             }
             let holders = self.holders(ask);
             let names: Vec<&str> = holders.iter().map(|host| host.name.as_str()).collect();
@@ -49,11 +49,11 @@
                 let mut asks = self.limit_asks.borrow_mut();
                 asks.next(now, &start, &names, &self.me.name)
             };
-            let name = next.map_err(Dry)?;
+            let name = next.map_err(NoToken)?;
             let host = holders.iter().find(|host| host.name == name);
             let reply = match host {
                 Some(host) if host.name != self.me.name => {
-                    let left = end.saturating_duration_since(now);
+                    let left = deadline.saturating_duration_since(now);
                     self.ask_holder(host, ask, left).await
                 }
                 _ => Some(self.give_token(&self.me.name, ask, holders.len())),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Answers another host's question.
+    /// Answers another host's token request.
     pub(super) fn answer_limit(&self, from: &str, ask: &LimitTokenRequest) -> LimitReply {
         let holders = self.holders(ask);
         match holders.iter().any(|host| host.name == self.me.name) {
@@ -110,12 +110,12 @@
         reply
     }
 
-    /// Hosts that hold parts of the limit of a start of an upstream: some of its region, or of
-    /// all where it has none. Only hosts of the store's list hold any: one that others don't
-    /// know would add to the sum.
+    /// Hosts that hold shares of the rate limit of a started upstream: some hosts of its region, or
+    /// of all regions if its region has none. Only listed hosts hold shares: a host that others
+    /// don't know of would exceed the total.
     fn holders(&self, ask: &LimitTokenRequest) -> Vec<HostEntry> {
-        let beliefs = self.beliefs.borrow();
-        let rows = beliefs.roll.list().rows();
+        let known_state = self.known_state.borrow();
+        let rows = known_state.roll.list().rows();
         let regions = &self.common.settings.regions;
         let region = regions.get(&ask.zone);
         let is_near = |host: &&HostEntry| region.is_some() && regions.get(&host.zone) == region;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,17 +1,17 @@
-//! Serves routes: requests that find their upstream by domain, path and object.
+//! Serves routes: forwards callers' requests to upstreams selected by domain, path and object.
 //!
-//! One thread holds what the host believes and publishes it as a view; another
-//! serves callers from the latest view. Every decision is in `steering::route`.
+//! The control thread keeps the host's state and publishes it as a read-only view. The traffic
+//! thread serves callers from the latest view. All routing decisions are made in `steering::route`.
 
 mod allowances;
 mod control;
-mod dialect;
 mod host;
 mod limits;
 mod settings;
 mod suspects;
 mod traffic;
+mod wire_format;
 
-pub use dialect::{Dialect, HeaderNames, LoadNote, LookUp};
-pub use host::{GatewayError, GatewayHost, MakeRecords, RenderMetrics};
+pub use host::{GatewayError, GatewayHost, RecordsFactory, RenderMetrics};
 pub use settings::{Bounds, GatewaySettings};
+pub use wire_format::{HeaderNames, HostLookup, ReportedLoad, WireFormat};
