--- a/crates/caller/src/admission.rs
+++ b/crates/caller/src/admission.rs
@@ -1,4 +1,4 @@
-//! Pools that this host admits to, with the requests that wait for them.
+//! Admission to the upstream pools that this host owns, and the requests queued for them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, RwLock};
@@ -20,16 +20,17 @@
 
 use crate::shared::lock;
 
-type Answer = Result<Grant, ErrorKind>;
+type AdmissionResult = Result<Grant, ErrorKind>;
 
-struct Owned {
+struct OwnedPool {
     pool: Pool,
-    waiting: HashMap<WaitId, oneshot::Sender<Answer>>,
+    waiting: HashMap<WaitId, oneshot::Sender<AdmissionResult>>,
     rng: StdRng,
 }
 
-impl Owned {
-    fn tell(&mut self, steps: Vec<Step>) -> Vec<Grant> {
+impl OwnedPool {
+    /// Sends steps to the queued requests; returns grants whose request is gone.
+    fn send_steps(&mut self, steps: Vec<Step>) -> Vec<Grant> {
         let mut unclaimed = Vec::new();
         for step in steps {
             let (wait, answer) = match step {
@@ -47,62 +48,63 @@
         unclaimed
     }
 
-    /// Tells waiters of steps; a grant that nobody waits for any more goes on.
-    fn settle(&mut self, now: Instant, steps: Vec<Step>) {
-        let mut unclaimed = self.tell(steps);
+    /// Sends steps to the queued requests; a grant whose request is gone is released, which
+    /// may admit the next one.
+    fn apply_steps(&mut self, now: Instant, steps: Vec<Step>) {
+        let mut unclaimed = self.send_steps(steps);
         while let Some(grant) = unclaimed.pop() {
             let steps = self
                 .pool
                 .release(now, &grant, Outcome::Cancelled, &mut self.rng);
-            unclaimed.extend(self.tell(steps));
+            unclaimed.extend(self.send_steps(steps));
         }
     }
 }
 
-/// State of a pool, for dumps and drains.
+/// State of a pool, for dumps and the status of a host.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PoolState {
-    /// Its name.
+    /// Key of the pool, `SERVICE/…`.
     pub pool: PoolKey,
-    /// Its load.
+    /// Requests in flight and queued, capacity and latency of the pool.
     pub load: PoolLoad,
-    /// Its upstreams.
+    /// The upstreams of the pool with all that is known of each.
     pub upstreams: Vec<MemberStatus>,
 }
 
 #[derive(Clone)]
-struct Handle {
-    owned: Arc<Mutex<Owned>>,
+struct PoolHandle {
+    owned: Arc<Mutex<OwnedPool>>,
     key: PoolKey,
 }
 
-/// All pools that this host admits to.
+/// All pools for which this host decides on admission.
 #[derive(Default)]
-pub struct Gate {
-    pools: RwLock<HashMap<PoolKey, Handle>>,
+pub struct PoolRegistry {
+    pools: RwLock<HashMap<PoolKey, PoolHandle>>,
 }
 
-/// Leave to send one request; gives its slot back when dropped.
+/// A slot of an upstream for one request, released on drop.
 pub struct Permit {
-    owned: Arc<Mutex<Owned>>,
+    owned: Arc<Mutex<OwnedPool>>,
     grant: Grant,
     outcome: Outcome,
 }
 
 impl Permit {
-    /// The upstream to send to.
+    /// The upstream that the request is to be sent to.
     pub fn upstream(&self) -> &Arc<Upstream> {
         &self.grant.upstream
     }
 
-    /// The answer has begun.
+    /// Records the arrival of the first byte of the response.
     pub fn first_byte(&mut self) {
         let now = clock::now();
         lock(&self.owned).pool.first_byte(now, &self.grant);
         self.outcome = Outcome::Answered(now.saturating_duration_since(self.grant.sent));
     }
 
-    /// Sets how the request ended; without it counts as cancelled.
+    /// Sets how the request ended. A request without an outcome counts as cancelled.
     pub fn outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -115,13 +117,15 @@
         let steps = owned
             .pool
             .release(now, &self.grant, self.outcome, &mut owned.rng);
-        owned.settle(now, steps);
+        owned.apply_steps(now, steps);
     }
 }
 
-impl Gate {
-    /// Makes or updates a pool. Upstreams that are new to it count as full
-    /// until a report comes, at most for `unknown_for`.
+impl PoolRegistry {
+    /// Creates or updates a pool.
+    ///
+    /// Upstreams that are new to the pool count as full until their first load report, at
+    /// most for `unknown_for`.
     pub fn configure(
         &self,
         key: &str,
@@ -136,15 +140,15 @@
         let owned = &mut *lock(&handle.owned);
         owned.pool.configure(now, limits, upstreams, unknown_for);
         let steps = owned.pool.advance(now, &mut owned.rng);
-        owned.settle(now, steps);
+        owned.apply_steps(now, steps);
     }
 
-    /// Whether the pool is held here.
+    /// Whether this host decides on admission to the pool.
     pub fn has(&self, key: &str) -> bool {
         self.handle(key).is_some()
     }
 
-    /// Drops pools that `keep` does not name, once nothing is in flight in them.
+    /// Removes pools that are not in `keep` and have no request in flight or queued.
     pub fn retain(&self, keep: &[PoolKey]) {
         let mut pools = self.pools.write().unwrap_or_else(|e| e.into_inner());
         pools.retain(|key, handle| {
@@ -153,7 +157,11 @@
         });
     }
 
-    /// Waits for leave to send a request.
+    /// Waits until the request may be sent to an upstream.
+    ///
+    /// # Errors
+    ///
+    /// The reason for a refusal, or that the deadline has passed.
     pub async fn admit(&self, key: &str, offer: Offer) -> Result<Permit, ErrorKind> {
         let handle = self.handle(key).ok_or(ErrorKind::NoUpstream)?;
         let (wait, answer) = {
@@ -163,32 +171,32 @@
                 Decision::Granted(grant) => return Ok(handle.permit(grant)),
                 Decision::Refused(kind) => return Err(kind),
                 Decision::Queued(wait) => {
-                    let (tell, answer) = oneshot::channel();
-                    owned.waiting.insert(wait, tell);
+                    let (sender, answer) = oneshot::channel();
+                    owned.waiting.insert(wait, sender);
                     (wait, answer)
                 }
             }
         };
-        let mut waiting = Waiting {
+        let mut queued = QueuedRequest {
             handle: &handle,
             wait: Some(wait),
             answer,
         };
-        waiting.finish(offer.deadline).await
+        queued.admitted(offer.deadline).await
     }
 
-    /// Lets waiting requests go on where a pause or a deadline has passed.
+    /// Admits or refuses queued requests where a pause or a deadline has passed.
     pub fn advance(&self) {
-        let waiting = |handle: &Handle| lock(&handle.owned).pool.load().queued > 0;
-        for handle in self.handles().into_iter().filter(waiting) {
+        let has_queue = |handle: &PoolHandle| lock(&handle.owned).pool.load().queued > 0;
+        for handle in self.handles().into_iter().filter(has_queue) {
             let now = clock::now();
             let owned = &mut *lock(&handle.owned);
             let steps = owned.pool.advance(now, &mut owned.rng);
-            owned.settle(now, steps);
+            owned.apply_steps(now, steps);
         }
     }
 
-    /// Takes an upstream's report, or that none came.
+    /// Records a load report of an upstream; `None` for a failed probe.
     pub fn report(&self, key: &str, upstream: &str, measured: Instant, report: Option<LoadReport>) {
         let Some(handle) = self.handle(key) else {
             return;
@@ -201,18 +209,18 @@
             None => owned.pool.probe_failed(&name),
         }
         let steps = owned.pool.advance(now, &mut owned.rng);
-        owned.settle(now, steps);
+        owned.apply_steps(now, steps);
     }
 
-    /// Load of a pool.
+    /// Load of a pool; `None` if this host does not decide on its admission.
     pub fn load(&self, key: &str) -> Option<PoolLoad> {
         self.handle(key)
             .map(|handle| lock(&handle.owned).pool.load())
     }
 
-    /// All pools.
+    /// States of all pools, sorted by key.
     pub fn states(&self) -> Vec<PoolState> {
-        let state = |handle: Handle| {
+        let state = |handle: PoolHandle| {
             let owned = lock(&handle.owned);
             PoolState {
                 pool: handle.key.clone(),
@@ -225,23 +233,23 @@
         states
     }
 
-    fn handle(&self, key: &str) -> Option<Handle> {
+    fn handle(&self, key: &str) -> Option<PoolHandle> {
         let pools = self.pools.read().unwrap_or_else(|e| e.into_inner());
         pools.get(key).cloned()
     }
 
-    fn handles(&self) -> Vec<Handle> {
+    fn handles(&self) -> Vec<PoolHandle> {
         let pools = self.pools.read().unwrap_or_else(|e| e.into_inner());
         pools.values().cloned().collect()
     }
 
-    fn insert(&self, key: &str, limits: &PoolLimits) -> Handle {
-        let owned = Owned {
+    fn insert(&self, key: &str, limits: &PoolLimits) -> PoolHandle {
+        let owned = OwnedPool {
             pool: Pool::new(limits.clone(), Box::new(LeastExpected)),
             waiting: HashMap::new(),
             rng: StdRng::seed_from_u64(rand::rng().next_u64()),
         };
-        let handle = Handle {
+        let handle = PoolHandle {
             owned: Arc::new(Mutex::new(owned)),
             key: key.to_owned(),
         };
@@ -250,7 +258,7 @@
     }
 }
 
-impl Handle {
+impl PoolHandle {
     fn permit(&self, grant: Grant) -> Permit {
         Permit {
             owned: Arc::clone(&self.owned),
@@ -260,15 +268,15 @@
     }
 }
 
-/// A request that waits; dropped, it leaves the queue and gives a grant back.
-struct Waiting<'a> {
-    handle: &'a Handle,
+/// A queued request. On drop it leaves the queue and releases a grant that came too late.
+struct QueuedRequest<'a> {
+    handle: &'a PoolHandle,
     wait: Option<WaitId>,
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<AdmissionResult>,
 }
 
-impl Waiting<'_> {
-    async fn finish(&mut self, deadline: Instant) -> Result<Permit, ErrorKind> {
+impl QueuedRequest<'_> {
+    async fn admitted(&mut self, deadline: Instant) -> Result<Permit, ErrorKind> {
         let answer = timeout(clock::left(deadline), &mut self.answer).await;
         match answer {
             Ok(Ok(answer)) => {
@@ -281,7 +289,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         let Some(wait) = self.wait else {
             return;
--- a/crates/caller/src/answers.rs
+++ b/crates/caller/src/answers.rs
@@ -1,26 +1,26 @@
-//! Answers that the system itself gives.
+//! Responses that a host generates itself.
 
 use hyper::{Response, StatusCode, header};
 use serde::Serialize;
 use steering::error::{ErrorKind, NotRun};
 use upstream::{Body, REQUEST_ID_HEADER, full};
 
-/// Header with the error kind of an answer that is the system's own.
+/// Header with the error kind of a response that a host generated itself.
 pub const ERROR_HEADER: &str = "stagedeck-error";
 /// Header that says whether the request is known not to have run.
 pub const NOT_RUN_HEADER: &str = "stagedeck-not-run";
-/// Header of an answer that was kept from an earlier run.
+/// Header of a response that is replayed from an earlier run.
 pub const REPLAYED_HEADER: &str = "stagedeck-replayed";
 
-/// A request that was not answered by an upstream.
+/// The reason why a request got no response of an upstream.
 ///
-/// What is known of its having run is that of the kind's row, or less: a request
-/// sent again under its ticket may have run before, whatever befalls it now.
+/// `not_run` is the value of the error kind, or a less certain one: a request that is
+/// repeated under a ticket may have run earlier, whatever happens to this attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// Why.
+    /// The error kind, as in the header [`ERROR_HEADER`].
     pub kind: ErrorKind,
-    /// Whether it is known not to have run.
+    /// Whether the request is known not to have run.
     pub not_run: NotRun,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Failure {
-    /// A failure before the request's ticket or key was looked at.
+    /// A failure before the request's ticket or key was checked: it may have run earlier.
     pub fn before_ticket(kind: ErrorKind) -> Self {
         Failure {
             kind,
@@ -51,7 +51,7 @@
     request_id: &'a str,
 }
 
-/// The answer for a failure.
+/// The response for a failure: a JSON object and the headers that describe the error.
 pub fn failure(failed: Failure, request_id: &str) -> Response<Body> {
     let Failure { kind, not_run } = failed;
     let row = kind.answer();
@@ -76,7 +76,7 @@
         .expect("the table holds valid headers")
 }
 
-/// An answer of JSON.
+/// A response of status 200 with a JSON body.
 pub fn json<T: Serialize>(value: &T) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("answers are valid JSON");
     let mut answer = Response::new(full(body));
--- a/crates/caller/src/claims.rs
+++ b/crates/caller/src/claims.rs
@@ -1,12 +1,14 @@
-//! The border to the platform's claims and receipts.
+//! Interface to the store of claims and receipts of at-most-once requests.
 
 use futures::future::BoxFuture;
 use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Ending, Fingerprint};
 use steering::ids::ClaimId;
 
-/// Claims and receipts, kept in the platform by whoever implements this.
+/// Claims and receipts in the platform's store.
+///
+/// A claim gives one host the right to run a request; a receipt records how it ended.
 pub trait Claims: Send + Sync {
-    /// Writes a claim where there is none.
+    /// Writes a claim unless there is one already.
     fn claim(
         &self,
         id: ClaimId,
@@ -14,7 +16,8 @@
         fingerprint: Fingerprint,
     ) -> BoxFuture<'static, ClaimOutcome>;
 
-    /// Notes how work ended, to be written soon; none: this try did not run, its claim goes.
+    /// Records how a request ended, to be written soon. `None` means that this attempt did
+    /// not run, and removes its claim.
     fn finish(
         &self,
         id: ClaimId,
@@ -23,6 +26,10 @@
         ending: Option<Ending>,
     );
 
-    /// Reads a claim; an error says why it can't be read.
+    /// Reads a claim; `None` if there is no row.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the store can't be read.
     fn find(&self, id: ClaimId) -> BoxFuture<'static, Result<Option<ClaimRow>, String>>;
 }
--- a/crates/caller/src/guarded.rs
+++ b/crates/caller/src/guarded_stream.rs
@@ -1,9 +1,10 @@
-//! A caller's connection, watched for shapes of request heads that two HTTP
-//! implementations could read in two ways, and for readers that stall.
+//! A caller's connection with a check for ambiguous request heads and a write timeout.
 //!
-//! hyper reads such heads safely but says nothing of them: equal lengths given
-//! twice, a length after a transfer coding, and lines that end in a bare LF. The
-//! heads themselves are read by `httparse`.
+//! A head is ambiguous if two HTTP implementations may parse it differently, which
+//! allows request smuggling: repeated `content-length` fields, `content-length`
+//! beside `transfer-encoding`, or lines that end in a bare LF. hyper parses such heads
+//! safely but does not report them, so the bytes are parsed here a second time with
+//! `httparse`.
 
 use std::io;
 use std::pin::Pin;
@@ -17,41 +18,42 @@
 
 const MAX_HEADERS: usize = 256;
 
-/// Set when a head was read that is not to be trusted; never cleared.
-pub type Suspect = Arc<AtomicBool>;
+/// Set once the connection has sent an ambiguous request head; never reset.
+pub type AmbiguousHead = Arc<AtomicBool>;
 
-/// Where the watch stands in the bytes of a connection.
+/// Position of the checker in the byte stream of a connection.
 enum Stage {
-    /// In a head; its bytes so far.
+    /// Within a request head, with its bytes so far.
     Head(Vec<u8>),
-    /// In a body of so many more bytes.
+    /// Within a body, with the number of bytes left.
     Body(u64),
-    /// After a head whose end is not watched; the connection must close after it.
-    Unwatched,
+    /// After a head whose body length is not known here. The connection must be closed
+    /// after this request, since further heads would not be checked.
+    Unchecked,
 }
 
-/// Watches the heads of a connection's requests.
-pub struct HeadWatch {
+/// Checks the request heads of a connection for ambiguity.
+pub struct HeadChecker {
     stage: Stage,
     limit: usize,
-    suspect: Suspect,
+    ambiguous: AmbiguousHead,
 }
 
-impl HeadWatch {
-    /// Watches heads of at most `limit` bytes.
-    pub fn new(limit: usize, suspect: Suspect) -> Self {
-        HeadWatch {
+impl HeadChecker {
+    /// Checks heads of at most `limit` bytes and sets `ambiguous` for an ambiguous one.
+    pub fn new(limit: usize, ambiguous: AmbiguousHead) -> Self {
+        HeadChecker {
             stage: Stage::Head(Vec::new()),
             limit,
-            suspect,
+            ambiguous,
         }
     }
 
-    /// Takes the next bytes of the connection.
+    /// Checks the next bytes of the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match &mut self.stage {
-                Stage::Unwatched => return,
+                Stage::Unchecked => return,
                 Stage::Body(left) => {
                     let skip = (bytes.len() as u64).min(*left);
                     *left -= skip;
@@ -65,65 +67,66 @@
         }
     }
 
+    /// Checks bytes of a head; returns those that follow it.
     fn head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let Stage::Head(head) = &mut self.stage else {
             return bytes;
         };
         let before = head.len();
-        let room = (self.limit - before).min(bytes.len());
-        head.extend_from_slice(&bytes[..room]);
+        let taken = (self.limit - before).min(bytes.len());
+        head.extend_from_slice(&bytes[..taken]);
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut fields);
         match request.parse(head) {
             Ok(httparse::Status::Complete(length)) => {
                 let framing = Framing::of(request.headers);
-                let suspect = framing.is_ambiguous() || has_bare_lf(&head[..length]);
-                if suspect {
-                    self.suspect.store(true, Ordering::Release);
+                let ambiguous = framing.is_ambiguous() || has_bare_lf(&head[..length]);
+                if ambiguous {
+                    self.ambiguous.store(true, Ordering::Release);
                 }
                 self.stage = match framing.length {
-                    _ if framing.coded || suspect => Stage::Unwatched,
+                    _ if framing.has_transfer_encoding || ambiguous => Stage::Unchecked,
                     0 => Stage::Head(Vec::new()),
                     length => Stage::Body(length),
                 };
                 &bytes[length - before..]
             }
-            Ok(httparse::Status::Partial) if room > 0 => &bytes[room..],
-            // Too long, or no HTTP: hyper refuses it.
+            Ok(httparse::Status::Partial) if taken > 0 => &bytes[taken..],
+            // The head is too long or not HTTP, which hyper rejects.
             Ok(httparse::Status::Partial) | Err(_) => {
-                self.stage = Stage::Unwatched;
+                self.stage = Stage::Unchecked;
                 &[]
             }
         }
     }
 }
 
-/// What the head says of the body's length.
+/// The header fields that determine the length of the body.
 #[derive(Debug, Default)]
 struct Framing {
-    lengths: usize,
+    length_fields: usize,
     length: u64,
-    coded: bool,
-    readable: bool,
+    has_transfer_encoding: bool,
+    is_length_valid: bool,
 }
 
 impl Framing {
     fn of(fields: &[httparse::Header<'_>]) -> Framing {
         let mut framing = Framing {
-            readable: true,
+            is_length_valid: true,
             ..Framing::default()
         };
         for field in fields {
             if field.name.eq_ignore_ascii_case("transfer-encoding") {
-                framing.coded = true;
+                framing.has_transfer_encoding = true;
             }
             if field.name.eq_ignore_ascii_case("content-length") {
-                framing.lengths += 1;
+                framing.length_fields += 1;
                 let text = std::str::from_utf8(field.value).unwrap_or("");
                 let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
                 match text.parse() {
                     Ok(length) if digits => framing.length = length,
-                    _ => framing.readable = false,
+                    _ => framing.is_length_valid = false,
                 }
             }
         }
@@ -131,7 +134,9 @@
     }
 
     fn is_ambiguous(&self) -> bool {
-        !self.readable || self.lengths > 1 || (self.lengths > 0 && self.coded)
+        !self.is_length_valid
+            || self.length_fields > 1
+            || (self.length_fields > 0 && self.has_transfer_encoding)
     }
 }
 
@@ -142,27 +147,28 @@
         .any(|(i, byte)| *byte == b'\n' && !after_cr(i))
 }
 
-/// A connection whose heads are watched and whose writes time out.
-pub struct Guarded<S> {
+/// A stream that checks the request heads it reads, and whose writes time out.
+pub struct GuardedStream<S> {
     stream: S,
-    watch: HeadWatch,
-    stall: Duration,
-    /// Runs while a write waits for the reader.
+    checker: HeadChecker,
+    write_timeout: Duration,
+    /// Runs while a write waits for the other side to read.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S> Guarded<S> {
-    /// Guards a stream; a write that waits for `stall` fails.
-    pub fn new(stream: S, watch: HeadWatch, stall: Duration) -> Self {
-        Guarded {
+impl<S> GuardedStream<S> {
+    /// Wraps a stream. A write that makes no progress for `write_timeout` fails.
+    pub fn new(stream: S, checker: HeadChecker, write_timeout: Duration) -> Self {
+        GuardedStream {
             stream,
-            watch,
-            stall,
+            checker,
+            write_timeout,
             timer: None,
         }
     }
 
-    fn bound<T>(
+    /// Replaces a pending write by an error once the timeout has passed.
+    fn with_timeout<T>(
         &mut self,
         context: &mut Context<'_>,
         result: Poll<io::Result<T>>,
@@ -171,8 +177,10 @@
             self.timer = None;
             return result;
         }
-        let stall = self.stall;
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(stall)));
+        let write_timeout = self.write_timeout;
+        let timer = self
+            .timer
+            .get_or_insert_with(|| Box::pin(sleep(write_timeout)));
         if timer.deadline() < Instant::now() || timer.as_mut().poll(context).is_ready() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
@@ -180,7 +188,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Guarded<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for GuardedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -188,19 +196,19 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.watch.read(&buffer.filled()[before..]);
+        self.checker.read(&buffer.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Guarded<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for GuardedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.bound(context, result)
+        self.with_timeout(context, result)
     }
 
     fn poll_write_vectored(
@@ -209,7 +217,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.bound(context, result)
+        self.with_timeout(context, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -218,7 +226,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.stream).poll_flush(context);
-        self.bound(context, result)
+        self.with_timeout(context, result)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/caller/src/entry.rs
+++ b/crates/caller/src/handlers.rs
@@ -1,4 +1,4 @@
-//! The one place where every HTTP request comes in, from callers and from hosts.
+//! Handlers of all HTTP requests, from callers and from other hosts.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -14,26 +14,27 @@
 use upstream::{Body, REQUEST_ID_HEADER, WorkBody};
 
 use crate::answers::{Failure, failure};
-use crate::guarded::Suspect;
-use crate::local::{self, Admission, Miss};
+use crate::at_most_once;
+use crate::dispatch;
+use crate::guarded_stream::AmbiguousHead;
+use crate::local::{self, Admission, AttemptError};
 use crate::look_up::{self, LOOK_UP_PATH};
 use crate::relay::{
     LOAD_HEADER, PROOF_HEADER, Purpose, RELAY_HEADER, RelayHead, STAGE_ADMISSION, STAGE_DISPATCH,
     STAGE_HEADER, prove,
 };
-use crate::request::{KEY_HEADER, TICKET_HEADER, WorkHead, parse, text, value};
-use crate::shared::Shared;
-use crate::steer;
-use crate::ticketed;
+use crate::request::{KEY_HEADER, RequestHead, TICKET_HEADER, parse, text, value};
+use crate::shared::SharedState;
 use upstream::{BoundError, Bounded, Holding, hold};
 
-/// Counts a request in flight on this host until its answer has ended.
-struct InFlight(Arc<Shared>);
+/// Counts a request as in flight on this host until the body of its response has ended.
+struct InFlightGuard(Arc<SharedState>);
 
-impl InFlight {
-    fn enter(shared: &Arc<Shared>) -> Result<InFlight, ErrorKind> {
+impl InFlightGuard {
+    /// Counts the request; fails as `host_busy` at the limit.
+    fn new(shared: &Arc<SharedState>) -> Result<InFlightGuard, ErrorKind> {
         let limit = shared.config.limits.requests_in_flight;
-        let guard = InFlight(Arc::clone(shared));
+        let guard = InFlightGuard(Arc::clone(shared));
         if shared.in_flight.fetch_add(1, Ordering::AcqRel) >= limit {
             return Err(ErrorKind::HostBusy);
         }
@@ -41,40 +42,41 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Answers a request that came from a caller.
+/// Answers a request of a caller.
 pub async fn from_caller(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     request: Request<Incoming>,
     peer: SocketAddr,
-    suspect: Suspect,
+    ambiguous: AmbiguousHead,
 ) -> Response<Body> {
     let id = new_id();
     let begun = clock::now();
-    let unwatched = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let suspect = suspect.load(Ordering::Acquire);
+    let unchecked = request.headers().contains_key(header::TRANSFER_ENCODING);
+    let ambiguous = ambiguous.load(Ordering::Acquire);
     let path = request.uri().path().to_owned();
-    let answer = match suspect {
+    let answer = match ambiguous {
         true => Err(ErrorKind::Malformed.into()),
         false => answer_caller(&shared, request, peer.ip(), &id).await,
     };
     let mut answer = answer.unwrap_or_else(|failed: Failure| failure(failed, &id));
-    if unwatched || suspect {
+    // The heads that follow on this connection would not be checked for ambiguity.
+    if unchecked || ambiguous {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer.headers_mut().insert(REQUEST_ID_HEADER, value(&id));
-    log(&path, &id, &answer, clock::elapsed(begun));
+    log_request(&path, &id, &answer, clock::elapsed(begun));
     answer
 }
 
 async fn answer_caller(
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     request: Request<Incoming>,
     caller: IpAddr,
     id: &str,
@@ -82,12 +84,12 @@
     if request.uri().path() == LOOK_UP_PATH {
         return Ok(look_up::answer(shared, request.uri(), caller)?);
     }
-    let ticketed = has_ticket_or_key(request.headers());
+    let has_ticket_or_key = has_ticket_or_key(request.headers());
     let view = shared.view.load_full();
     let head = parse(&request, &view, caller, id.to_owned());
-    let head = head.map_err(|kind| refuse_early(kind, ticketed))?;
-    let early = |kind| refuse_early(kind, !head.repeatable);
-    let in_flight = InFlight::enter(shared).map_err(early)?;
+    let head = head.map_err(|kind| early_failure(kind, has_ticket_or_key))?;
+    let early = |kind| early_failure(kind, !head.repeatable);
+    let in_flight = InFlightGuard::new(shared).map_err(early)?;
     let ticket = text(request.headers(), TICKET_HEADER).map(str::to_owned);
     let body = read_body(shared, &head, request.into_body()).await;
     let body = body.map_err(early)?;
@@ -99,40 +101,43 @@
     headers.contains_key(TICKET_HEADER) || headers.contains_key(KEY_HEADER)
 }
 
-/// A refusal before anybody has looked whether the same work came before.
-fn refuse_early(kind: ErrorKind, may_have_come_before: bool) -> Failure {
-    match may_have_come_before {
+/// A failure before any check whether the same request came before.
+fn early_failure(kind: ErrorKind, may_be_repetition: bool) -> Failure {
+    match may_be_repetition {
         true => Failure::before_ticket(kind),
         false => kind.into(),
     }
 }
 
 async fn run(
-    shared: &Arc<Shared>,
-    head: WorkHead,
+    shared: &Arc<SharedState>,
+    head: RequestHead,
     mut body: WorkBody,
     ticket: Option<&str>,
 ) -> Result<Response<Body>, Failure> {
     if head.repeatable {
-        return steer::steer(shared, &head, &mut body).await;
+        return dispatch::run(shared, &head, &mut body).await;
     }
-    ticketed::run(shared, head, body, ticket).await
+    at_most_once::run(shared, head, body, ticket).await
 }
 
-/// Answers a request that another host passed on.
-pub async fn from_host(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+/// Answers a request that another host relayed.
+pub async fn from_host(shared: Arc<SharedState>, request: Request<Incoming>) -> Response<Body> {
     let relay = text(request.headers(), RELAY_HEADER).unwrap_or("");
     let Ok(relay) = RelayHead::verify(relay, &shared.config.peer_key) else {
-        tracing::warn!(event = "relay_refused", reason = "not under the shared key");
-        return staged(ErrorKind::Malformed, "", STAGE_ADMISSION);
+        tracing::warn!(
+            event = "relay_refused",
+            reason = "not signed with the shared key"
+        );
+        return failure_at_stage(ErrorKind::Malformed, "", STAGE_ADMISSION);
     };
     let id = relay.id.clone();
     let mut answer = match answer_host(&shared, request, relay).await {
         Ok(answer) => answer,
-        Err(miss @ (Miss::Refused(_) | Miss::Unreachable)) => {
-            staged(miss.kind(), &id, STAGE_ADMISSION)
+        Err(error @ (AttemptError::Refused(_) | AttemptError::Unreachable)) => {
+            failure_at_stage(error.kind(), &id, STAGE_ADMISSION)
         }
-        Err(miss) => staged(miss.kind(), &id, STAGE_DISPATCH),
+        Err(error) => failure_at_stage(error.kind(), &id, STAGE_DISPATCH),
     };
     let proof = prove(&shared.config.peer_key, &id);
     answer.headers_mut().insert(PROOF_HEADER, value(&proof));
@@ -140,24 +145,24 @@
 }
 
 async fn answer_host(
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     request: Request<Incoming>,
     relay: RelayHead,
-) -> Result<Response<Body>, Miss> {
-    let in_flight = InFlight::enter(shared).map_err(Miss::Refused)?;
+) -> Result<Response<Body>, AttemptError> {
+    let in_flight = InFlightGuard::new(shared).map_err(AttemptError::Refused)?;
     let view = shared.view.load_full();
-    let mut head = parse(&request, &view, relay.caller, relay.id).map_err(Miss::Refused)?;
+    let mut head = parse(&request, &view, relay.caller, relay.id).map_err(AttemptError::Refused)?;
     head.deadline = clock::now() + Duration::from_millis(relay.deadline_ms);
     head.repeatable = relay.repeatable;
     let ticket = text(request.headers(), TICKET_HEADER).map(str::to_owned);
     let body = read_body(shared, &head, request.into_body()).await;
-    let mut body = body.map_err(Miss::Refused)?;
+    let mut body = body.map_err(AttemptError::Refused)?;
     let answer = match relay.purpose {
         Purpose::Ticketed => {
-            let answer = ticketed::run(shared, head, body, ticket.as_deref()).await;
+            let answer = at_most_once::run(shared, head, body, ticket.as_deref()).await;
             answer.map_err(|failed| match failed.not_run {
-                steering::NotRun::True => Miss::NotRun(failed.kind),
-                _ => Miss::MayHaveRun(failed.kind),
+                steering::NotRun::True => AttemptError::NotRun(failed.kind),
+                _ => AttemptError::MayHaveRun(failed.kind),
             })
         }
         purpose => admit(shared, &head, &mut body, purpose, relay.revision).await,
@@ -165,14 +170,14 @@
     Ok(answer.map(|body| Holding::new(body, in_flight).boxed_unsync()))
 }
 
-/// Admits a relayed request here, or passes it on to the pool's owner.
+/// Admits a relayed request on this host, or relays it again to the owner of the pool.
 async fn admit(
-    shared: &Arc<Shared>,
-    head: &WorkHead,
+    shared: &Arc<SharedState>,
+    head: &RequestHead,
     body: &mut WorkBody,
     purpose: Purpose,
     revision: u64,
-) -> Result<Response<Body>, Miss> {
+) -> Result<Response<Body>, AttemptError> {
     let Purpose::Admit {
         pool,
         limits,
@@ -182,7 +187,7 @@
         hops,
     } = purpose
     else {
-        return Err(Miss::Refused(ErrorKind::Internal));
+        return Err(AttemptError::Refused(ErrorKind::Internal));
     };
     let view = shared.view.load_full();
     let owner = view
@@ -194,7 +199,7 @@
         .is_some_and(|owner| owner.name == view.me.name);
     if !owner_unreachable && !owns {
         let Some(owner) = owner.filter(|_| hops > 0) else {
-            return Err(Miss::Refused(ErrorKind::NoUpstream));
+            return Err(AttemptError::Refused(ErrorKind::NoUpstream));
         };
         let purpose = Purpose::Admit {
             pool: pool.clone(),
@@ -204,14 +209,14 @@
             hedge,
             hops: hops - 1,
         };
-        let passed_on = steer::relay_on(shared, head, body, &owner, purpose).await;
-        if !matches!(passed_on, Err(Miss::Unreachable)) {
-            return passed_on;
+        let relayed = dispatch::relay_to_owner(shared, head, body, &owner, purpose).await;
+        if !matches!(relayed, Err(AttemptError::Unreachable)) {
+            return relayed;
         }
     }
-    if revision > view.revision && !limits.iter().all(|key| knows(shared, key)) {
-        // A cap that this host has not heard of yet can't be kept here.
-        return Err(Miss::Refused(ErrorKind::LimitReached));
+    if revision > view.revision && !limits.iter().all(|key| knows_limit(shared, key)) {
+        // The sender has a newer configuration with a limit that this host can't enforce yet.
+        return Err(AttemptError::Refused(ErrorKind::LimitReached));
     }
     let admission = Admission {
         pool: &pool,
@@ -221,14 +226,14 @@
         sent: &AtomicBool::new(false),
     };
     let mut answer = local::run(shared, head, body, &admission).await?;
-    if let Some(load) = shared.gate.load(&pool) {
+    if let Some(load) = shared.pools.load(&pool) {
         let load = serde_json::to_string(&load).expect("loads are valid JSON");
         answer.headers_mut().insert(LOAD_HEADER, value(&load));
     }
     Ok(answer)
 }
 
-fn knows(shared: &Shared, key: &steering::limiter::LimitKey) -> bool {
+fn knows_limit(shared: &SharedState, key: &steering::limiter::LimitKey) -> bool {
     use steering::limiter::LimitKey;
     match key {
         LimitKey::RuleFlight(..) | LimitKey::RuleRate(..) => shared.ledger().has(key),
@@ -237,16 +242,16 @@
 }
 
 async fn read_body(
-    shared: &Shared,
-    head: &WorkHead,
+    shared: &SharedState,
+    head: &RequestHead,
     body: Incoming,
 ) -> Result<WorkBody, ErrorKind> {
     let limits = &shared.config.limits;
     let view = shared.view.load();
     let service = view.plan.services.get(&head.service);
-    let most = service.map_or(0, |service| service.service.body_limit_bytes);
-    let stall = Duration::from_millis(limits.stall_timeout_ms);
-    let body = Bounded::new(body, most, stall).boxed_unsync();
+    let body_limit_bytes = service.map_or(0, |service| service.service.body_limit_bytes);
+    let stall_timeout = Duration::from_millis(limits.stall_timeout_ms);
+    let body = Bounded::new(body, body_limit_bytes, stall_timeout).boxed_unsync();
     match hold(body, limits.hold_body_bytes).await {
         Ok(held) => Ok(held.into()),
         Err(error) => Err(match error.downcast_ref() {
@@ -257,7 +262,8 @@
     }
 }
 
-fn staged(kind: ErrorKind, id: &str, stage: &'static str) -> Response<Body> {
+/// The response for a failure that tells the relaying host at which stage it occurred.
+fn failure_at_stage(kind: ErrorKind, id: &str, stage: &'static str) -> Response<Body> {
     let mut answer = failure(kind.into(), id);
     let stage = HeaderValue::from_static(stage);
     answer.headers_mut().insert(STAGE_HEADER, stage);
@@ -268,7 +274,7 @@
     format!("{:016x}", rand::rng().random::<u64>())
 }
 
-fn log(path: &str, id: &str, answer: &Response<Body>, took: Duration) {
+fn log_request(path: &str, id: &str, answer: &Response<Body>, took: Duration) {
     let status = answer.status().as_u16();
     let error = text(answer.headers(), crate::answers::ERROR_HEADER).unwrap_or("none");
     let ms = took.as_secs_f64() * 1_000.0;
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,23 +1,24 @@
 //! Look-ups and requests from callers over HTTP.
 //!
-//! A request is classified, a place is chosen, and the owner of a pool there
-//! admits it and sends it to an upstream. Every decision is in `steering`.
+//! A host classifies each request and chooses a zone for it. The host that owns an
+//! upstream pool in this zone admits the request and forwards it to an upstream.
+//! The decisions themselves are made by the crate `steering`.
 
 mod admission;
 mod answers;
+mod at_most_once;
 mod claims;
-mod entry;
-mod guarded;
+mod dispatch;
+mod guarded_stream;
+mod handlers;
 mod local;
 mod look_up;
 mod relay;
 mod request;
 mod server;
 mod shared;
-mod steer;
-mod ticketed;
 
-pub use admission::{Gate, PoolState};
+pub use admission::{PoolRegistry, PoolState};
 pub use claims::Claims;
 pub use server::{Listeners, serve};
-pub use shared::{Limits, LoadNote, Shared, SharedConfig};
+pub use shared::{Limits, LoadObservation, SharedConfig, SharedState};
--- a/crates/caller/src/local.rs
+++ b/crates/caller/src/local.rs
@@ -1,5 +1,4 @@
-//! A request's way through a pool that this host owns: limits, admission,
-//! dispatch.
+//! Runs a request on an upstream of a pool that this host owns: limits, admission, dispatch.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,58 +16,61 @@
 };
 
 use crate::admission::Permit;
-use crate::request::{WorkHead, value};
-use crate::shared::Shared;
+use crate::request::{RequestHead, value};
+use crate::shared::SharedState;
 use upstream::Holding;
 
-/// Silence of the control thread after which a host trusts its own view no more.
-const CONTROL_SILENCE_LIMIT: Duration = Duration::from_secs(5);
+/// Time without a tick of the control thread after which the view counts as outdated and the
+/// host refuses requests.
+const MAX_CONTROL_TICK_AGE: Duration = Duration::from_secs(5);
 
-/// Why an attempt brought no answer.
+/// Why an attempt failed, with what is known about the request having run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Miss {
-    /// It was refused at admission; no upstream saw it.
+pub enum AttemptError {
+    /// The request was refused at admission; it was sent to no upstream.
     Refused(ErrorKind),
-    /// It was admitted, and certainly did not run.
+    /// The request was admitted, and certainly did not run.
     NotRun(ErrorKind),
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(ErrorKind),
-    /// The host that it was to go to can't be reached; nothing was sent.
+    /// The host to relay to can't be reached; nothing was sent.
     Unreachable,
-    /// The host that it was sent to gave no answer; it may have run.
+    /// The host relayed to gave no valid response; the request may have run.
     Silent,
 }
 
-impl Miss {
-    /// The error kind that tells of it.
+impl AttemptError {
+    /// The error kind for the caller.
     pub fn kind(self) -> ErrorKind {
         match self {
-            Miss::Refused(kind) | Miss::NotRun(kind) | Miss::MayHaveRun(kind) => kind,
-            Miss::Unreachable => ErrorKind::NoUpstream,
-            Miss::Silent => ErrorKind::OutcomeUnknown,
+            AttemptError::Refused(kind)
+            | AttemptError::NotRun(kind)
+            | AttemptError::MayHaveRun(kind) => kind,
+            AttemptError::Unreachable => ErrorKind::NoUpstream,
+            AttemptError::Silent => ErrorKind::OutcomeUnknown,
         }
     }
 }
 
-/// How a request is to be admitted.
+/// Parameters for the admission of a request to a pool.
 pub struct Admission<'a> {
-    /// The pool.
+    /// Key of the pool.
     pub pool: &'a str,
-    /// Limits that it comes under.
+    /// Limits that apply to the request.
     pub limits: &'a [LimitKey],
-    /// Priority of its service.
+    /// Priority of the service.
     pub priority: u8,
-    /// Whether it is the second try at a request that is late.
+    /// Whether this is a hedge beside a first attempt without a response so far.
     pub hedge: bool,
-    /// Set when it has left this host, for an upstream.
+    /// Set once the request is sent to an upstream.
     pub sent: &'a AtomicBool,
 }
 
-/// Room taken under a zone's limits.
+/// A request's use of the zone's limits, released on drop.
 struct LimitGuard {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     keys: Vec<LimitKey>,
-    /// Whether an upstream was asked; otherwise the room was not used.
+    /// Whether the request was admitted; otherwise its tokens are returned.
     used: bool,
 }
 
@@ -82,15 +84,15 @@
     }
 }
 
-/// Runs a request on one of a pool's upstreams.
+/// Runs a request on one of the pool's upstreams.
 pub async fn run(
-    shared: &Arc<Shared>,
-    head: &WorkHead,
+    shared: &Arc<SharedState>,
+    head: &RequestHead,
     body: &mut WorkBody,
     admission: &Admission<'_>,
-) -> Result<Response<Body>, Miss> {
-    if shared.control_silence() > CONTROL_SILENCE_LIMIT {
-        return Err(Miss::Refused(ErrorKind::HostBusy));
+) -> Result<Response<Body>, AttemptError> {
+    if shared.control_tick_age() > MAX_CONTROL_TICK_AGE {
+        return Err(AttemptError::Refused(ErrorKind::HostBusy));
     }
     ensure_pool(shared, head, admission.pool)?;
     let mut limits = take_limits(shared, admission.limits)?;
@@ -100,19 +102,19 @@
         hedge: admission.hedge,
     };
     let permit = shared
-        .gate
+        .pools
         .admit(admission.pool, offer)
         .await
-        .map_err(Miss::Refused)?;
+        .map_err(AttemptError::Refused)?;
     limits.used = true;
     admission.sent.store(true, Ordering::Release);
     let (answer, permit) = dispatch(shared, head, body, permit).await?;
-    Ok(pass_back(answer, (permit, limits)))
+    Ok(caller_response(answer, (permit, limits)))
 }
 
-/// Holds the pool from now on, where it is one of this zone's.
-fn ensure_pool(shared: &Shared, head: &WorkHead, key: &str) -> Result<(), Miss> {
-    if shared.gate.has(key) {
+/// Takes the pool over if it belongs to this zone and the host does not have it yet.
+fn ensure_pool(shared: &SharedState, head: &RequestHead, key: &str) -> Result<(), AttemptError> {
+    if shared.pools.has(key) {
         return Ok(());
     }
     let view = shared.view.load();
@@ -120,18 +122,18 @@
     let zone = service.and_then(|service| service.zone(&view.me.zone));
     let pool = zone.and_then(|zone| zone.pools.iter().find(|pool| pool.key == key));
     let (Some(service), Some(pool)) = (service, pool) else {
-        return Err(Miss::Refused(ErrorKind::NoUpstream));
+        return Err(AttemptError::Refused(ErrorKind::NoUpstream));
     };
     let unknown_for = Duration::from_millis(service.service.deadline_ms);
     let limits = PoolLimits::from(&service.service);
     shared
-        .gate
+        .pools
         .configure(key, limits, &pool.upstreams, unknown_for);
     tracing::info!(event = "pool_taken", pool = key, id = head.id);
     Ok(())
 }
 
-fn take_limits(shared: &Arc<Shared>, keys: &[LimitKey]) -> Result<LimitGuard, Miss> {
+fn take_limits(shared: &Arc<SharedState>, keys: &[LimitKey]) -> Result<LimitGuard, AttemptError> {
     let mut ledger = shared.ledger();
     let admitted = ledger.admit(clock::now(), keys);
     drop(ledger);
@@ -143,27 +145,27 @@
         }),
         Err(key) => {
             tracing::debug!(event = "limit_reached", limit = %key);
-            Err(Miss::Refused(ErrorKind::LimitReached))
+            Err(AttemptError::Refused(ErrorKind::LimitReached))
         }
     }
 }
 
 async fn dispatch(
-    shared: &Shared,
-    head: &WorkHead,
+    shared: &SharedState,
+    head: &RequestHead,
     body: &mut WorkBody,
     mut permit: Permit,
-) -> Result<(Response<TrackedBody>, Permit), Miss> {
+) -> Result<(Response<TrackedBody>, Permit), AttemptError> {
     let upstream = Arc::clone(permit.upstream());
     let Some(unsent) = body.take() else {
-        return Err(Miss::MayHaveRun(ErrorKind::OutcomeUnknown));
+        return Err(AttemptError::MayHaveRun(ErrorKind::OutcomeUnknown));
     };
     let sent = clock::now();
     let Some(left) = head.deadline.checked_duration_since(sent) else {
         body.put_back(unsent);
-        return Err(Miss::NotRun(ErrorKind::DeadlineBeforeDispatch));
+        return Err(AttemptError::NotRun(ErrorKind::DeadlineBeforeDispatch));
     };
-    let request = build(head, upstream.address.to_string(), left, unsent);
+    let request = upstream_request(head, upstream.address.to_string(), left, unsent);
     let reuse = if head.repeatable {
         Reuse::Any
     } else {
@@ -192,7 +194,7 @@
                 Some(rest) => Outcome::Rests(rest),
                 None => Outcome::Shed,
             });
-            Err(Miss::NotRun(ErrorKind::NoCapacity))
+            Err(AttemptError::NotRun(ErrorKind::NoCapacity))
         }
         Ok(answer) => {
             permit.first_byte();
@@ -203,7 +205,7 @@
             if let Some(request) = request {
                 body.put_back(request.into_body());
             }
-            Err(Miss::NotRun(ErrorKind::NoUpstream))
+            Err(AttemptError::NotRun(ErrorKind::NoUpstream))
         }
         Err(SendError::Lost { reason }) => {
             tracing::info!(
@@ -213,16 +215,21 @@
                 reason
             );
             permit.outcome(Outcome::Failed);
-            Err(Miss::MayHaveRun(ErrorKind::OutcomeUnknown))
+            Err(AttemptError::MayHaveRun(ErrorKind::OutcomeUnknown))
         }
         Err(SendError::Late) => {
             permit.outcome(Outcome::Answered(clock::elapsed(sent)));
-            Err(Miss::MayHaveRun(ErrorKind::DeadlineAfterDispatch))
+            Err(AttemptError::MayHaveRun(ErrorKind::DeadlineAfterDispatch))
         }
     }
 }
 
-fn build(head: &WorkHead, address: String, left: Duration, body: Body) -> Request<Body> {
+fn upstream_request(
+    head: &RequestHead,
+    address: String,
+    left: Duration,
+    body: Body,
+) -> Request<Body> {
     let uri: Uri = head.path.parse().unwrap_or_default();
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
@@ -237,8 +244,8 @@
     request
 }
 
-/// An upstream's answer for the caller; `held` is kept until it has ended.
-pub fn pass_back<B, T>(answer: Response<B>, held: T) -> Response<Body>
+/// The response for the caller; `held` is dropped once its body has ended.
+pub fn caller_response<B, T>(answer: Response<B>, held: T) -> Response<Body>
 where
     B: http_body::Body<Data = bytes::Bytes, Error = upstream::BodyError> + Send + Unpin + 'static,
     T: Send + Unpin + 'static,
--- a/crates/caller/src/look_up.rs
+++ b/crates/caller/src/look_up.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which hosts a caller should use, and tickets for its work.
+//! Look-ups: the hosts that a caller should use, and tickets for at-most-once requests.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,12 +10,12 @@
 use upstream::Body;
 
 use crate::answers::json;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Path of look-ups.
 pub const LOOK_UP_PATH: &str = "/v1/hosts";
-/// Most tickets in one answer.
-pub const TICKETS_LIMIT: usize = 32;
+/// Most tickets in one response.
+pub const MAX_TICKETS: usize = 32;
 
 #[derive(Serialize)]
 struct FoundHost {
@@ -25,14 +25,14 @@
 }
 
 #[derive(Serialize)]
-struct Found {
+struct LookUpResponse {
     service: ServiceName,
     /// Best first.
     hosts: Vec<FoundHost>,
-    /// Time that the answer may be used.
+    /// Time that the response may be cached, in milliseconds.
     ttl_ms: u64,
     revision: Revision,
-    /// To be sent to `ticket_host`, each with one request.
+    /// Each ticket is good for one request, to be sent to `ticket_host`.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     tickets: Vec<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -41,7 +41,7 @@
     ticket_ttl_ms: Option<u64>,
 }
 
-/// What a look-up asks for.
+/// Parameters of a look-up.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Query {
     service: Option<String>,
@@ -69,7 +69,15 @@
 }
 
 /// Answers a look-up.
-pub fn answer(shared: &Shared, uri: &Uri, caller: IpAddr) -> Result<Response<Body>, ErrorKind> {
+///
+/// # Errors
+///
+/// The query is malformed, or the service is not known.
+pub fn answer(
+    shared: &SharedState,
+    uri: &Uri,
+    caller: IpAddr,
+) -> Result<Response<Body>, ErrorKind> {
     let query = parse(uri)?;
     let view = shared.view.load();
     let name = query.service.ok_or(ErrorKind::Malformed)?;
@@ -81,7 +89,7 @@
     let address = query.address.unwrap_or(caller);
     let class = view.plan.class(view.plan.class_of(address));
     let directory = shared.directory.load();
-    let hosts = directory.find(class.zone.as_deref(), spread(address));
+    let hosts = directory.find(class.zone.as_deref(), address_hash(address));
     let found = |host: &steering::membership::HostEntry| FoundHost {
         name: host.name.clone(),
         zone: host.zone.clone(),
@@ -89,32 +97,32 @@
     };
     let hosts: Vec<FoundHost> = hosts.into_iter().map(found).collect();
     let tickets = tickets(shared, &name, service.service.ticket_mode, query.tickets);
-    let some = !tickets.is_empty();
-    Ok(json(&Found {
+    let has_tickets = !tickets.is_empty();
+    Ok(json(&LookUpResponse {
         service: name,
         hosts,
         ttl_ms: shared.config.look_up_ttl.as_millis() as u64,
         revision: view.revision,
-        ticket_host: some.then_some(view.me.caller_address),
-        ticket_ttl_ms: some.then_some(shared.config.ticket_ttl.as_millis() as u64),
+        ticket_host: has_tickets.then_some(view.me.caller_address),
+        ticket_ttl_ms: has_tickets.then_some(shared.config.ticket_ttl.as_millis() as u64),
         tickets,
     }))
 }
 
-fn tickets(shared: &Shared, service: &str, mode: TicketMode, count: usize) -> Vec<String> {
+fn tickets(shared: &SharedState, service: &str, mode: TicketMode, count: usize) -> Vec<String> {
     let leaving = shared.view.load().leaving;
     if count == 0 || leaving || !shared.spent().may_issue() {
         return Vec::new();
     }
-    let lapse = clock::elapsed(shared.started) + shared.config.ticket_ttl;
+    let expiry = clock::elapsed(shared.started) + shared.config.ticket_ttl;
     let mut rng = rand::rng();
-    (0..count.min(TICKETS_LIMIT))
-        .map(|_| shared.issuer.issue(service, mode, lapse, &mut rng))
+    (0..count.min(MAX_TICKETS))
+        .map(|_| shared.issuer.issue(service, mode, expiry, &mut rng))
         .collect()
 }
 
-/// Tells callers apart, the same for each of them every time.
-fn spread(address: IpAddr) -> u64 {
+/// A hash that spreads callers over hosts, and is the same each time for the same caller.
+fn address_hash(address: IpAddr) -> u64 {
     match address {
         IpAddr::V4(address) => steering::rendezvous::hash(&address.octets()),
         IpAddr::V6(address) => steering::rendezvous::hash(&address.octets()),
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that one host passes to another, under the deployment's shared key.
+//! Requests that one host relays to another, authenticated with the deployment's shared key.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -12,76 +12,76 @@
 use steering::limiter::LimitKey;
 use steering::plan::PoolKey;
 
-/// Header that a relayed request carries.
+/// Header of a relayed request: a signed [`RelayHead`].
 pub const RELAY_HEADER: &str = "stagedeck-relay";
-/// Header of an answer to a relayed request with the pool's load as JSON.
+/// Header of a relay response with the pool's load as JSON.
 pub const LOAD_HEADER: &str = "stagedeck-load";
-/// Header of a failure that says at which stage it came up.
+/// Header of a relay response that says at which stage the request failed.
 pub const STAGE_HEADER: &str = "stagedeck-stage";
 /// Value of [`STAGE_HEADER`]: before admission to a pool.
 pub const STAGE_ADMISSION: &str = "admission";
 /// Value of [`STAGE_HEADER`]: after admission to a pool.
 pub const STAGE_DISPATCH: &str = "dispatch";
-/// Header of an answer to a relayed request that proves who gave it.
+/// Header of a relay response that proves that a host of this deployment sent it.
 pub const PROOF_HEADER: &str = "stagedeck-relay-proof";
-/// Connections to one other host.
+/// Most connections to one other host for relayed requests.
 pub const RELAY_CONNECTIONS: u32 = 1_024;
 
-/// What the other host is asked to do.
+/// What the receiving host is to do with a relayed request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
-    /// Admit it to a pool and send it to an upstream.
+    /// Admit the request to a pool and send it to an upstream.
     Admit {
-        /// The pool.
+        /// Key of the pool.
         pool: PoolKey,
-        /// Limits that it comes under.
+        /// Limits of the receiving zone that apply to the request.
         limits: Vec<LimitKey>,
-        /// Priority of its service.
+        /// Priority of the service.
         priority: u8,
-        /// Whether the pool's owner could not be reached.
+        /// Whether the sender could not reach the owner of the pool.
         owner_unreachable: bool,
-        /// Whether it is the second try at a request that is late.
+        /// Whether this is a hedge beside a first attempt without a response so far.
         hedge: bool,
-        /// How many more hosts may pass it on.
+        /// Times that the request may still be relayed again.
         hops: u8,
     },
-    /// Run it under a ticket that the other host issued.
+    /// Run the request under a ticket that the receiving host issued.
     Ticketed,
 }
 
-/// What a relayed request carries besides itself.
+/// Metadata of a relayed request, sent as JSON in [`RELAY_HEADER`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayHead {
-    /// The request.
+    /// Identity of the request, the same on all hosts.
     pub id: RequestId,
-    /// The host that passes it on.
+    /// The host that relays the request.
     pub from: HostName,
-    /// Revision that it was steered by.
+    /// Configuration revision that the sending host applied.
     pub revision: Revision,
-    /// The caller's address.
+    /// Address of the caller, as the first host saw it.
     pub caller: IpAddr,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline when the request was sent, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// What to do.
+    /// What the receiving host is to do.
     pub purpose: Purpose,
 }
 
-/// Why a relay header is not taken.
+/// Why a relay header is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RelayError {
-    /// It can't be read.
+    /// The header can't be parsed.
     #[display("the relay header can't be read")]
     Unreadable,
-    /// It is not under the shared key.
+    /// The signature does not match the shared key.
     #[display("the relay header is not by a host of this deployment")]
     Forged,
 }
 
 impl RelayHead {
-    /// The header's value.
+    /// The value of the relay header, signed with `key`.
     pub fn sign(&self, key: &[u8]) -> String {
         let body = serde_json::to_vec(self).expect("relay headers are valid JSON");
         let mac = mac(key, &body).finalize().into_bytes();
@@ -92,7 +92,7 @@
         )
     }
 
-    /// Reads a header's value.
+    /// Parses the value of a relay header and verifies its signature.
     pub fn verify(text: &str, key: &[u8]) -> Result<RelayHead, RelayError> {
         let (body, tag) = text.split_once('.').ok_or(RelayError::Unreadable)?;
         let decode = |part: &str| {
@@ -108,15 +108,15 @@
     }
 }
 
-/// What a host of this deployment answers a relayed request with, in [`PROOF_HEADER`].
+/// The value of [`PROOF_HEADER`] in the response to the request `id`.
 ///
-/// The address of a host that vanished may be another's by now; whoever listens
-/// there does not know the key.
+/// The address of a host that is gone may belong to another process by now, which does not
+/// know the key.
 pub fn prove(key: &[u8], id: &str) -> String {
     URL_SAFE_NO_PAD.encode(answer_mac(key, id).finalize().into_bytes())
 }
 
-/// Whether a proof is that of this request.
+/// Whether `proof` is the value of [`PROOF_HEADER`] for the request `id`.
 pub fn is_proven(key: &[u8], id: &str, proof: &str) -> bool {
     let proof = URL_SAFE_NO_PAD.decode(proof).unwrap_or_default();
     answer_mac(key, id).verify_slice(&proof).is_ok()
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from its HTTP request.
+//! The parts of a caller's HTTP request that decide where it is sent.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -12,64 +12,69 @@
 use steering::view::View;
 use upstream::{DEADLINE_HEADER, end_to_end};
 
-/// Path below which services are found: `/services/NAME/…`.
+/// Path prefix of requests to services: `/services/NAME/…`.
 pub const SERVICES_PATH: &str = "/services/";
-/// Header with a ticket.
+/// Header with a ticket from a look-up.
 pub const TICKET_HEADER: &str = "stagedeck-ticket";
-/// Header with a caller's own key for work that may not be repeated.
+/// Header with a key that the caller chose, for a request that must run at most once.
 pub const KEY_HEADER: &str = "idempotency-key";
+
 /// A request without its body.
 #[derive(Debug, Clone)]
-pub struct WorkHead {
-    /// Its identity, the same on every host.
+pub struct RequestHead {
+    /// Identity of the request, the same on every host and in every log.
     pub id: RequestId,
-    /// The service.
+    /// Service that the request is for.
     pub service: ServiceName,
-    /// Its kind, by number in the service's operations.
+    /// Index of the matching operation of the service; `None` if no operation matches.
     pub operation: Option<usize>,
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// Path and query below the service.
+    /// Path and query without the prefix `/services/NAME`.
     pub path: String,
-    /// Headers without those for one connection only.
+    /// Headers without those that apply to a single connection.
     pub headers: HeaderMap,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// What names its work; none: a ticket or a key does.
-    pub named: Option<NamedWork>,
-    /// Time by which its answer must begin.
+    /// How header fields identify the request; `None` if a ticket or a key does.
+    pub identity: Option<OperationIdentity>,
+    /// Time by which the response must begin.
     pub deadline: Instant,
-    /// Address of the caller.
+    /// IP address of the caller.
     pub caller: IpAddr,
-    /// Class of the caller.
+    /// Class of the caller, from the client blocks of the configuration.
     pub class: ClassId,
 }
 
-/// What names a request's work.
+/// Identification of a request by its operation and by header fields.
 #[derive(Debug, Clone)]
-pub struct NamedWork {
-    /// The operation.
+pub struct OperationIdentity {
+    /// Name of the operation.
     pub operation: String,
-    /// The header fields.
+    /// The header fields that identify the request, as configured.
     pub identity: Identity,
 }
 
-impl NamedWork {
+impl OperationIdentity {
     fn of(operation: &Operation) -> Option<Self> {
-        Some(NamedWork {
+        Some(OperationIdentity {
             identity: operation.identity.clone()?,
             operation: operation.name.clone(),
         })
     }
 }
 
-/// Reads a request's head; `path` is what follows [`SERVICES_PATH`].
+/// Parses the head of a request.
+///
+/// # Errors
+///
+/// The service is not known, a header is malformed, or the body is too large.
 pub fn parse<B>(
     request: &Request<B>,
     view: &View,
     caller: IpAddr,
     id: RequestId,
-) -> Result<WorkHead, ErrorKind> {
+) -> Result<RequestHead, ErrorKind> {
     let path = request
         .uri()
         .path_and_query()
@@ -95,13 +100,13 @@
         .operations
         .iter()
         .position(|operation| operation.matches(method.as_str(), &path));
-    let known = operation.map(|number| &service.operations[number]);
+    let known = operation.map(|index| &service.operations[index]);
     let deadline = deadline(request.headers(), service, known)?;
-    Ok(WorkHead {
+    Ok(RequestHead {
         id,
         service: name.to_owned(),
         operation,
-        named: known.and_then(NamedWork::of),
+        identity: known.and_then(OperationIdentity::of),
         repeatable: known.map_or(is_safe(&method), |operation| operation.repeatable),
         method,
         path,
@@ -112,12 +117,12 @@
     })
 }
 
-/// A header's value as text.
+/// The value of a header as text; `None` if it is absent or not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A header value of text that the system made.
+/// Makes a header value; text that no header may contain becomes the empty value.
 pub fn value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""))
 }
@@ -137,17 +142,18 @@
     }
 }
 
+/// Time until the deadline: what the caller asks for, at most what is configured.
 fn deadline(
     headers: &HeaderMap,
     service: &Service,
     operation: Option<&Operation>,
 ) -> Result<Duration, ErrorKind> {
-    let most = operation.and_then(|operation| operation.deadline_ms);
-    let most = Duration::from_millis(most.unwrap_or(service.deadline_ms));
+    let limit_ms = operation.and_then(|operation| operation.deadline_ms);
+    let limit = Duration::from_millis(limit_ms.unwrap_or(service.deadline_ms));
     let Some(asked) = headers.get(DEADLINE_HEADER) else {
-        return Ok(most);
+        return Ok(limit);
     };
-    let asked = asked.to_str().ok().and_then(|text| text.parse().ok());
-    let asked = asked.ok_or(ErrorKind::Malformed)?;
-    Ok(most.min(Duration::from_millis(asked)))
+    let asked_ms = asked.to_str().ok().and_then(|text| text.parse().ok());
+    let asked_ms = asked_ms.ok_or(ErrorKind::Malformed)?;
+    Ok(limit.min(Duration::from_millis(asked_ms)))
 }
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -1,4 +1,4 @@
-//! The listeners for callers and for relayed requests.
+//! The HTTP servers for callers and for relayed requests.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,43 +17,50 @@
 use tokio::task::JoinSet;
 
 use crate::answers::Failure;
-use crate::entry::{from_caller, from_host};
-use crate::guarded::{Guarded, HeadWatch, Suspect};
-use crate::shared::Shared;
+use crate::guarded_stream::{AmbiguousHead, GuardedStream, HeadChecker};
+use crate::handlers::{from_caller, from_host};
+use crate::shared::SharedState;
 
-const ADVANCE_EVERY: Duration = Duration::from_millis(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least that hyper takes as its buffer for heads.
-const HEAD_BYTES_LEAST: usize = 8_192;
+/// Time between two checks of the queued requests.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Smallest buffer for request heads that hyper accepts.
+const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Sockets that a host listens on.
+/// Listening sockets for HTTP.
 pub struct Listeners {
-    /// For callers.
+    /// Accepts requests of callers.
     pub callers: std::net::TcpListener,
-    /// For other hosts.
+    /// Accepts requests that other hosts relay.
     pub relays: std::net::TcpListener,
 }
 
-/// Who is at the other end of a connection.
+/// Kind of the client of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Side {
+enum Client {
     Caller,
     Host,
 }
 
-/// Serves until `stop` is true and every connection has ended.
+/// Serves HTTP until `stop` is true and every connection has ended.
 ///
-/// From then on idle connections are closed, and each busy one after its answer.
+/// Once `stop` is true, idle connections are closed at once, and busy ones after their
+/// response.
+///
+/// # Errors
+///
+/// A socket can't be set to non-blocking mode.
 pub async fn serve(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     listeners: Listeners,
     stop: watch::Receiver<bool>,
 ) -> io::Result<()> {
     let callers = listen(listeners.callers)?;
     let relays = listen(listeners.relays)?;
     let advance = tokio::spawn(advance(Arc::clone(&shared)));
-    let callers = accept(Arc::clone(&shared), callers, Side::Caller, stop.clone());
-    let relays = accept(Arc::clone(&shared), relays, Side::Host, stop);
+    let callers = accept(Arc::clone(&shared), callers, Client::Caller, stop.clone());
+    let relays = accept(Arc::clone(&shared), relays, Client::Host, stop);
     tokio::join!(callers, relays);
     advance.abort();
     Ok(())
@@ -64,18 +71,19 @@
     TcpListener::from_std(listener)
 }
 
-async fn advance(shared: Arc<Shared>) {
-    let mut timer = tokio::time::interval(ADVANCE_EVERY);
+/// Admits or refuses queued requests at regular intervals.
+async fn advance(shared: Arc<SharedState>) {
+    let mut timer = tokio::time::interval(ADVANCE_INTERVAL);
     loop {
         timer.tick().await;
-        shared.gate.advance();
+        shared.pools.advance();
     }
 }
 
 async fn accept(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     listener: TcpListener,
-    side: Side,
+    client: Client,
     mut stop: watch::Receiver<bool>,
 ) {
     let mut connections = JoinSet::new();
@@ -87,13 +95,14 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                // Counted in the order of arrival, before the task first runs.
-                let counted = Counted::new(&shared);
-                connections.spawn(connection(counted, stream, peer, side, stop.clone()));
+                // Counted before the task first runs, so that the limit applies in the order
+                // of arrival.
+                let counted = CountedConnection::new(&shared);
+                connections.spawn(connection(counted, stream, peer, client, stop.clone()));
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -102,10 +111,10 @@
 }
 
 async fn connection(
-    counted: Counted,
+    counted: CountedConnection,
     mut stream: TcpStream,
     peer: SocketAddr,
-    side: Side,
+    client: Client,
     mut stop: watch::Receiver<bool>,
 ) {
     let shared = Arc::clone(&counted.shared);
@@ -115,22 +124,22 @@
     }
     let _ = stream.set_nodelay(true);
     let limits = &shared.config.limits;
-    let suspect = Suspect::default();
-    let watch = HeadWatch::new(limits.head_bytes, Arc::clone(&suspect));
-    let stall = Duration::from_millis(limits.stall_timeout_ms);
-    let guarded = Guarded::new(stream, watch, stall);
+    let ambiguous = AmbiguousHead::default();
+    let checker = HeadChecker::new(limits.head_bytes, Arc::clone(&ambiguous));
+    let stall_timeout = Duration::from_millis(limits.stall_timeout_ms);
+    let guarded = GuardedStream::new(stream, checker, stall_timeout);
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new())
         .max_headers(limits.header_fields)
-        .max_buf_size(limits.head_bytes.max(HEAD_BYTES_LEAST))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
         .header_read_timeout(Duration::from_millis(limits.head_timeout_ms));
     let service = service_fn(|request| {
         let shared = Arc::clone(&shared);
-        let suspect = Arc::clone(&suspect);
+        let ambiguous = Arc::clone(&ambiguous);
         async move {
-            Ok::<_, Infallible>(match side {
-                Side::Caller => from_caller(shared, request, peer, suspect).await,
-                Side::Host => from_host(shared, request).await,
+            Ok::<_, Infallible>(match client {
+                Client::Caller => from_caller(shared, request, peer, ambiguous).await,
+                Client::Host => from_host(shared, request).await,
             })
         }
     });
@@ -152,29 +161,29 @@
     }
 }
 
-/// Counts an open connection.
-struct Counted {
-    shared: Arc<Shared>,
-    /// Connections open when this one came, itself included.
+/// Counts a connection as open until dropped.
+struct CountedConnection {
+    shared: Arc<SharedState>,
+    /// Number of open connections when this one was accepted, itself included.
     number: u32,
 }
 
-impl Counted {
-    fn new(shared: &Arc<Shared>) -> Self {
-        Counted {
+impl CountedConnection {
+    fn new(shared: &Arc<SharedState>) -> Self {
+        CountedConnection {
             number: shared.open_connections.fetch_add(1, Ordering::AcqRel) + 1,
             shared: Arc::clone(shared),
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountedConnection {
     fn drop(&mut self) {
         self.shared.open_connections.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Says that the host is full, before anything is read.
+/// Answers that the host has no room for another connection, without reading a request.
 async fn refuse(stream: &mut TcpStream) {
     let failed = Failure::before_ticket(ErrorKind::HostBusy);
     let answer = format!(
@@ -184,6 +193,6 @@
         failed.kind,
         failed.not_run
     );
-    // A caller that does not read its refusal is no longer of interest.
+    // Nothing is left to do for a caller that does not read the response.
     let _ = stream.write_all(answer.as_bytes()).await;
 }
--- a/crates/caller/src/shared.rs
+++ b/crates/caller/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads of a host share.
+//! State that the traffic threads of a host share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -18,32 +18,33 @@
 use steering::view::View;
 use upstream::Connections;
 
-use crate::admission::Gate;
+use crate::admission::PoolRegistry;
 use crate::claims::Claims;
 
-/// Bounds on what callers can make a host hold.
+/// Bounds on the resources of a host that callers can use, set in the settings file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections from callers, and from other hosts, at the same time.
+    /// Open connections from callers and other hosts together.
     pub connections: u32,
-    /// Requests in flight on this host.
+    /// Requests in flight on this host; further ones are refused as `host_busy`.
     pub requests_in_flight: u32,
-    /// Bytes of a request's head, at least 8192.
+    /// Longest request head in bytes, at least 8192.
     pub head_bytes: usize,
-    /// Header fields of a request.
+    /// Most header fields of a request.
     pub header_fields: usize,
     /// Longest wait for a whole request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest silence of a sender or reader in the middle of a body, in milliseconds.
+    /// Longest pause of a sender or reader within a body, in milliseconds.
     pub stall_timeout_ms: u64,
-    /// Bodies up to this size are held whole, and can be sent again.
+    /// Bodies up to this size, in bytes, are buffered whole and can be sent again. Requests
+    /// that must run at most once need a buffered body.
     pub hold_body_bytes: usize,
-    /// Spent tickets remembered.
+    /// Most used tickets and keys that are remembered.
     pub spent_tickets: usize,
-    /// Largest answer that is kept with a spent ticket, in bytes.
+    /// Largest response body that is kept for replay, in bytes.
     pub kept_answer_bytes: usize,
-    /// Bytes of all answers kept.
+    /// Most bytes of all kept response bodies together.
     pub kept_answers_bytes: usize,
 }
 
@@ -64,81 +65,81 @@
     }
 }
 
-/// What a host's traffic is made with.
+/// Settings of the traffic threads.
 pub struct SharedConfig {
-    /// Bounds.
+    /// Bounds on the resources that callers can use.
     pub limits: Limits,
-    /// Key that this deployment's hosts share.
+    /// Secret key shared by all hosts of the deployment; authenticates relayed requests.
     pub peer_key: Vec<u8>,
-    /// Time that callers may use a look-up's answer.
+    /// Time that callers may cache the result of a look-up.
     pub look_up_ttl: Duration,
-    /// Time that tickets are good for.
+    /// Time from the issue of a ticket to its expiry.
     pub ticket_ttl: Duration,
 }
 
-/// Load of a place, as an answer from there told it.
+/// Load of a service in another zone, as read from a relay response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LoadNote {
-    /// The place.
+pub struct LoadObservation {
+    /// Availability zone of the pool.
     pub zone: ZoneName,
-    /// The service.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// Its load.
+    /// Load of the pool that admitted the request.
     pub load: PoolLoad,
-    /// When the answer came.
-    pub heard: Instant,
+    /// When the response arrived.
+    pub received: Instant,
 }
 
 /// State that the traffic threads of a host share.
-pub struct Shared {
-    /// What it is made with.
+pub struct SharedState {
+    /// Settings of the traffic threads.
     pub config: SharedConfig,
-    /// The control thread's last view.
+    /// The view that the control thread published last.
     pub view: ArcSwap<View>,
-    /// Made from the last view.
+    /// Hosts by distance for look-ups, derived from `view`.
     pub directory: ArcSwap<Directory>,
-    /// Connections to upstreams and to other hosts.
+    /// Connection pools to upstreams and to other hosts.
     pub connections: Connections,
-    /// Pools that this host admits to.
-    pub gate: Gate,
-    /// Tickets of this start.
+    /// Upstream pools for which this host decides on admission.
+    pub pools: PoolRegistry,
+    /// Issues and verifies the tickets of this incarnation.
     pub issuer: Issuer,
-    /// The platform's claims.
+    /// Claims and receipts of at-most-once requests in the platform's store.
     pub claims: Arc<dyn Claims>,
-    /// The start, by the monotonic clock.
+    /// When this incarnation started.
     pub started: Instant,
-    /// Open connections of callers and hosts.
+    /// Open connections from callers and other hosts.
     pub open_connections: AtomicU32,
-    /// Requests in flight.
+    /// Requests in flight on this host.
     pub in_flight: AtomicU32,
-    /// Whether this host is leaving.
+    /// Set when the host shuts down gracefully.
     pub leaving: AtomicBool,
     control_tick_ms: AtomicU64,
     spent: Mutex<SpentTickets>,
     ledger: Mutex<Ledger>,
     budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
-    notes: Sender<LoadNote>,
+    observations: Sender<LoadObservation>,
 }
 
-impl Shared {
-    /// Makes the state of a start.
+impl SharedState {
+    /// Creates the state of a new incarnation; `observations` lead to the control thread.
     pub fn new(
         config: SharedConfig,
         view: View,
         issuer: Issuer,
         claims: Arc<dyn Claims>,
-        notes: Sender<LoadNote>,
+        observations: Sender<LoadObservation>,
     ) -> Self {
         let spent = SpentLimits {
             count: config.limits.spent_tickets,
             bytes: config.limits.kept_answers_bytes,
         };
-        Shared {
+        SharedState {
             directory: ArcSwap::from_pointee(Directory::new(&view)),
             ledger: Mutex::new(Ledger::new(view.me.name.clone(), view.incarnation)),
             view: ArcSwap::from_pointee(view),
             connections: Connections::default(),
-            gate: Gate::default(),
+            pools: PoolRegistry::default(),
             issuer,
             claims,
             started: clock::now(),
@@ -148,13 +149,14 @@
             control_tick_ms: AtomicU64::new(0),
             spent: Mutex::new(SpentTickets::new(spent)),
             budgets: Mutex::default(),
-            notes,
+            observations,
             config,
         }
     }
 
-    /// Replaces the view; only the control thread does so. The directory is made
-    /// anew where hosts or distances may have changed.
+    /// Replaces the view; only the control thread calls this.
+    ///
+    /// The directory is rebuilt if hosts or distances may have changed.
     pub fn publish(&self, view: View) {
         let last = self.view.load();
         if last.hosts != view.hosts || last.revision != view.revision {
@@ -163,30 +165,30 @@
         self.view.store(Arc::new(view));
     }
 
-    /// The control thread says that it runs.
-    pub fn tick(&self) {
+    /// Records that the control thread is running.
+    pub fn record_control_tick(&self) {
         let since_start_ms = clock::elapsed(self.started).as_millis() as u64;
         self.control_tick_ms
             .store(since_start_ms, Ordering::Release);
     }
 
-    /// Time since the control thread last said that it runs.
-    pub fn control_silence(&self) -> Duration {
+    /// Time since the last tick of the control thread.
+    pub fn control_tick_age(&self) -> Duration {
         let last = Duration::from_millis(self.control_tick_ms.load(Ordering::Acquire));
         clock::elapsed(self.started).saturating_sub(last)
     }
 
-    /// Spent tickets.
+    /// Used tickets and keys, with the outcomes of their requests.
     pub fn spent(&self) -> MutexGuard<'_, SpentTickets> {
         lock(&self.spent)
     }
 
-    /// Limits of this host's zone.
+    /// The host's shares of its zone's limits.
     pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
         lock(&self.ledger)
     }
 
-    /// Lets `with` use the retry budget of a service.
+    /// Calls `with` on the retry budget of a service.
     pub fn with_budget<T>(&self, service: &str, with: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = lock(&self.budgets);
         if !budgets.contains_key(service) {
@@ -195,14 +197,14 @@
         with(budgets.get_mut(service).expect("it was inserted above"))
     }
 
-    /// Tells the control thread of a load that an answer told.
-    pub fn note(&self, note: LoadNote) {
-        // The control thread ends only with the process.
-        let _ = self.notes.send(note);
+    /// Sends the load of a service in another zone to the control thread.
+    pub fn record_load(&self, observation: LoadObservation) {
+        // The send fails only after the control thread has ended, while the host shuts down.
+        let _ = self.observations.send(observation);
     }
 }
 
-/// Locks; what a panicking holder left is still good: every update is whole.
+/// Locks a mutex, also after a panic of its holder: no update leaves the value inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/caller/tests/tiny_http_cuts.rs
+++ b/crates/caller/tests/tiny_http_cuts.rs
@@ -1,6 +1,6 @@
-//! Why traffic does not go through `tiny_http`: an answer that breaks off looks
-//! whole there. See docs/decisions/http-libraries.md. If this test ever fails,
-//! the house style can be followed on the traffic path as well.
+//! Shows why traffic is not served by `tiny_http`: it ends a truncated response as if the
+//! response were complete. If this test fails, the reason is gone and `tiny_http` can serve
+//! traffic as well. See docs/decisions/http-libraries.md.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -8,13 +8,13 @@
 
 use tiny_http::{Response, Server, StatusCode};
 
-/// A source that breaks off after its first bytes.
-struct Broken(bool);
+/// A body that fails after its first bytes.
+struct FailingBody(bool);
 
-impl Read for Broken {
+impl Read for FailingBody {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         if std::mem::replace(&mut self.0, true) {
-            return Err(io::Error::other("the source broke off"));
+            return Err(io::Error::other("the body failed"));
         }
         buffer[..4].copy_from_slice(b"half");
         Ok(4)
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn tiny_http_ends_a_broken_answer_as_if_it_were_whole() {
+fn tiny_http_ends_a_truncated_response_as_if_it_were_complete() {
     let server = Server::http("127.0.0.1:0").unwrap();
     let address = server.server_addr().to_ip().unwrap();
     let serving = thread::spawn(move || {
         let request = server.recv().unwrap();
         let status = StatusCode(200);
-        let answer = Response::new(status, Vec::new(), Broken(false), None, None);
+        let answer = Response::new(status, Vec::new(), FailingBody(false), None, None);
         request.respond(answer).is_err()
     });
     let mut stream = TcpStream::connect(address).unwrap();
@@ -39,10 +39,10 @@
     stream.read_to_string(&mut answer).unwrap();
     assert!(
         serving.join().unwrap(),
-        "the server knows that it broke off"
+        "the server knows that the body failed"
     );
     assert!(
         answer.ends_with("0\r\n\r\n"),
-        "and sends the end all the same: {answer:?}"
+        "the last chunk is sent all the same: {answer:?}"
     );
 }
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-use ::caller::{LoadNote, Shared};
+use ::caller::{LoadObservation, SharedState};
 use peer::{Local, PeerClient, PeerServer};
 use steering::history::History;
 use steering::ids::Incarnation;
@@ -37,19 +37,19 @@
 /// What the control thread is made with.
 pub struct ControlParts {
     pub config: Config,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     pub worker: Worker,
     pub me: ListedHost,
     pub incarnation: Incarnation,
     pub commands: mpsc::UnboundedReceiver<Command>,
-    pub notes: Receiver<LoadNote>,
+    pub notes: Receiver<LoadObservation>,
     pub ready: watch::Sender<bool>,
 }
 
 /// The control thread's tasks share this.
 pub struct Control {
     pub config: Config,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     pub worker: Worker,
     pub me: ListedHost,
     pub incarnation: Incarnation,
@@ -57,7 +57,7 @@
     /// This host, as its connections to others share it.
     pub local: Local,
     clients: RefCell<HashMap<SocketAddr, Rc<PeerClient>>>,
-    pub notes: Receiver<LoadNote>,
+    pub notes: Receiver<LoadObservation>,
     ready: watch::Sender<bool>,
 }
 
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -20,7 +20,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use ::caller::{Listeners, Shared, SharedConfig};
+use ::caller::{Listeners, SharedConfig, SharedState};
 use ::operator::OperatorServer;
 use derive_more::{Display, Error, From};
 use rand::Rng;
@@ -107,7 +107,7 @@
 pub struct Host {
     addresses: Addresses,
     config: Config,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     commands: mpsc::UnboundedSender<Command>,
     stop: watch::Sender<bool>,
     traffic: Option<Runtime>,
@@ -153,7 +153,7 @@
         };
         let (notes, noted) = channel();
         let mut rng = rand::rng();
-        let shared = Arc::new(Shared::new(
+        let shared = Arc::new(SharedState::new(
             shared_config(&config),
             View::new(me.clone(), incarnation),
             Issuer::new(me.name.clone(), incarnation, &mut rng),
@@ -269,7 +269,7 @@
 }
 
 async fn serve_when_ready(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     listeners: Listeners,
     mut ready: watch::Receiver<bool>,
     stop: watch::Receiver<bool>,
--- a/src/host/probes.rs
+++ b/src/host/probes.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use ::caller::Shared;
+use ::caller::SharedState;
 use steering::document::Upstream;
 use tokio::time::interval;
 
@@ -15,7 +15,7 @@
 type Asked = Arc<Mutex<HashSet<String>>>;
 
 /// Probes for as long as the runtime lives.
-pub async fn run(shared: Arc<Shared>) {
+pub async fn run(shared: Arc<SharedState>) {
     let asked = Asked::default();
     let mut timer = interval(EVERY);
     loop {
@@ -29,7 +29,7 @@
     }
 }
 
-fn held_upstreams(shared: &Shared) -> Vec<(String, Arc<Upstream>)> {
+fn held_upstreams(shared: &SharedState) -> Vec<(String, Arc<Upstream>)> {
     let view = shared.view.load();
     let zones = view
         .plan
@@ -38,7 +38,7 @@
         .filter_map(|service| service.zone(&view.me.zone));
     zones
         .flat_map(|zone| &zone.pools)
-        .filter(|pool| shared.gate.has(&pool.key))
+        .filter(|pool| shared.pools.has(&pool.key))
         .flat_map(|pool| {
             let named = |upstream: &Arc<Upstream>| (pool.key.clone(), Arc::clone(upstream));
             pool.upstreams.iter().map(named)
@@ -46,7 +46,7 @@
         .collect()
 }
 
-async fn ask(shared: Arc<Shared>, pool: String, upstream: Arc<Upstream>, asked: Asked) {
+async fn ask(shared: Arc<SharedState>, pool: String, upstream: Arc<Upstream>, asked: Asked) {
     // Measured no earlier than it was asked for.
     let measured = clock::now();
     let limit = upstream.connection_limit;
@@ -55,7 +55,7 @@
         tracing::debug!(event = "probe_failed", upstream = upstream.name, %error);
     }
     shared
-        .gate
+        .pools
         .report(&pool, &upstream.name, measured, report.ok());
     lock(&asked).remove(&upstream.name);
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -59,7 +59,7 @@
     }
 
     pub fn pools(&self) -> Vec<PoolStatus> {
-        let states = self.shared.gate.states();
+        let states = self.shared.pools.states();
         let pool = |state: ::caller::PoolState| PoolStatus {
             pool: state.pool,
             queued: state.load.queued,
@@ -88,7 +88,7 @@
             listed: &state.listed,
             roster: &state.roster,
             limits: self.shared.ledger().entries(now),
-            pools: self.shared.gate.states(),
+            pools: self.shared.pools.states(),
             spent_tickets: self.shared.spent().len(),
             open_connections: self
                 .shared
--- a/src/host/views.rs
+++ b/src/host/views.rs
@@ -36,7 +36,7 @@
                 .in_flight
                 .load(std::sync::atomic::Ordering::Relaxed)
                 > 0;
-            self.shared.tick();
+            self.shared.record_control_tick();
             if busy || idle_ticks >= IDLE_TICKS {
                 idle_ticks = 0;
                 self.publish();
@@ -48,11 +48,11 @@
     pub fn publish(&self) {
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
-        self.shared.tick();
+        self.shared.record_control_tick();
         while let Ok(note) = self.notes.try_recv() {
             let report = Report {
                 load: note.load,
-                measured: note.heard,
+                measured: note.received,
             };
             state.beliefs.update(&note.zone, &note.service, report);
         }
@@ -119,7 +119,7 @@
     /// Load of the pools that this host admits to, by service.
     pub fn own_loads(&self) -> Vec<ServiceLoad> {
         let mut sums: BTreeMap<String, PoolLoad> = BTreeMap::new();
-        for pool in self.shared.gate.states() {
+        for pool in self.shared.pools.states() {
             let service = pool.pool.split('/').next().unwrap_or("").to_owned();
             add(sums.entry(service).or_default(), &pool.load);
         }
@@ -151,19 +151,19 @@
     /// Takes the pools that this host owns now, and lets go of the others.
     pub fn hold_pools(&self, view: &View, replan: bool) {
         let owned = view.owned_pools();
-        self.shared.gate.retain(&owned);
+        self.shared.pools.retain(&owned);
         for service in view.plan.services.values() {
             let Some(zone) = service.zone(&self.me.entry.zone) else {
                 continue;
             };
             for pool in &zone.pools {
-                let held = self.shared.gate.has(&pool.key);
+                let held = self.shared.pools.has(&pool.key);
                 let new = !held && owned.contains(&pool.key);
                 if new || (held && replan) {
                     let unknown_for = Duration::from_millis(service.service.deadline_ms);
                     let limits = PoolLimits::from(&service.service);
                     self.shared
-                        .gate
+                        .pools
                         .configure(&pool.key, limits, &pool.upstreams, unknown_for);
                 }
                 if new {
