--- a/src/host/claims.rs
+++ b/src/host/claims.rs
@@ -1,4 +1,4 @@
-//! Claims and receipts, gathered into grouped commits.
+//! Claims and receipts of at-most-once requests, written to the store in batches.
 
 use std::time::Duration;
 
@@ -10,35 +10,37 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-const GROUP_LIMIT: usize = 128;
-const QUEUE_LIMIT: usize = 4_096;
-const CLAIM_LINGER: Duration = Duration::from_millis(5);
-const RECEIPT_LINGER: Duration = Duration::from_millis(100);
-const RECEIPT_RETRY: Duration = Duration::from_secs(1);
+const MAX_BATCH: usize = 128;
+const MAX_QUEUED: usize = 4_096;
+/// Time that the first claim of a batch waits for further ones.
+const CLAIM_BATCH_DELAY: Duration = Duration::from_millis(5);
+/// Time that the first receipt of a batch waits for further ones.
+const RECEIPT_BATCH_DELAY: Duration = Duration::from_millis(100);
+const RECEIPT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-struct Waiting {
+struct QueuedClaim {
     request: ClaimRequest,
     answer: oneshot::Sender<ClaimOutcome>,
 }
 
-/// Claims of one start of a host.
-pub struct GroupedClaims {
+/// Claims and receipts of one incarnation of a host.
+pub struct BatchedClaims {
     worker: Worker,
     host: HostName,
     incarnation: Incarnation,
-    claims: mpsc::Sender<Waiting>,
+    claims: mpsc::Sender<QueuedClaim>,
     receipts: mpsc::Sender<ReceiptWrite>,
 }
 
-impl GroupedClaims {
-    /// Starts the gathering tasks on the current runtime.
+impl BatchedClaims {
+    /// Starts the tasks that write the batches on the current runtime.
     pub fn start(worker: Worker, host: HostName, incarnation: Incarnation) -> Self {
-        let (claims, claimed) = mpsc::channel(QUEUE_LIMIT);
-        let (receipts, received) = mpsc::channel(QUEUE_LIMIT);
+        let (claims, queued_claims) = mpsc::channel(MAX_QUEUED);
+        let (receipts, queued_receipts) = mpsc::channel(MAX_QUEUED);
         let owner = (host.clone(), incarnation);
-        tokio::spawn(write_claims(worker.clone(), owner.clone(), claimed));
-        tokio::spawn(write_receipts(worker.clone(), owner, received));
-        GroupedClaims {
+        tokio::spawn(write_claims(worker.clone(), owner.clone(), queued_claims));
+        tokio::spawn(write_receipts(worker.clone(), owner, queued_receipts));
+        BatchedClaims {
             worker,
             host,
             incarnation,
@@ -48,26 +50,26 @@
     }
 }
 
-impl ::caller::Claims for GroupedClaims {
+impl ::caller::Claims for BatchedClaims {
     fn claim(
         &self,
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
     ) -> BoxFuture<'static, ClaimOutcome> {
-        let (answer, answered) = oneshot::channel();
+        let (answer, outcome) = oneshot::channel();
         let request = ClaimRequest {
             id,
             attempt,
             fingerprint,
         };
-        let queued = self.claims.try_send(Waiting { request, answer });
+        let queued = self.claims.try_send(QueuedClaim { request, answer });
         async move {
             if queued.is_err() {
-                return ClaimOutcome::Failed("too many claims wait".to_owned());
+                return ClaimOutcome::Failed("too many claims are queued".to_owned());
             }
-            let ended = |_| ClaimOutcome::Failed("the host is ending".to_owned());
-            answered.await.unwrap_or_else(ended)
+            let stopped = |_| ClaimOutcome::Failed("the host is stopping".to_owned());
+            outcome.await.unwrap_or_else(stopped)
         }
         .boxed()
     }
@@ -86,7 +88,7 @@
             ending,
         };
         if let Err(error) = self.receipts.try_send(receipt) {
-            // Without its receipt the outcome stays unknown to other hosts.
+            // Without the receipt, the outcome of the request stays unknown to other hosts.
             tracing::warn!(event = "receipt_dropped", %error);
         }
     }
@@ -107,35 +109,39 @@
     }
 }
 
-async fn gather<T>(from: &mut mpsc::Receiver<T>, linger: Duration) -> Option<Vec<T>> {
-    let mut group = vec![from.recv().await?];
-    sleep(linger).await;
-    while group.len() < GROUP_LIMIT
+/// Waits for the first item, and returns it with those that arrive within `delay`.
+///
+/// Returns `None` once the channel is closed.
+async fn next_batch<T>(from: &mut mpsc::Receiver<T>, delay: Duration) -> Option<Vec<T>> {
+    let mut batch = vec![from.recv().await?];
+    sleep(delay).await;
+    while batch.len() < MAX_BATCH
         && let Ok(next) = from.try_recv()
     {
-        group.push(next);
+        batch.push(next);
     }
-    Some(group)
+    Some(batch)
 }
 
 async fn write_claims(
     worker: Worker,
     (host, incarnation): (HostName, Incarnation),
-    mut claimed: mpsc::Receiver<Waiting>,
+    mut claims: mpsc::Receiver<QueuedClaim>,
 ) {
-    while let Some(group) = gather(&mut claimed, CLAIM_LINGER).await {
-        let requests: Vec<ClaimRequest> = group.iter().map(|one| one.request.clone()).collect();
+    while let Some(batch) = next_batch(&mut claims, CLAIM_BATCH_DELAY).await {
+        let requests: Vec<ClaimRequest> =
+            batch.iter().map(|queued| queued.request.clone()).collect();
         let host = host.clone();
         let outcomes = worker
             .run(move |platform| ClaimStore::new(platform, host, incarnation).claim(&requests))
             .await;
         metrics::counter!("stagedeck_claim_commits_total").increment(1);
         let outcomes = outcomes.unwrap_or_else(|error: WorkerError| {
-            vec![ClaimOutcome::Failed(error.to_string()); group.len()]
+            vec![ClaimOutcome::Failed(error.to_string()); batch.len()]
         });
-        for (waiting, outcome) in group.into_iter().zip(outcomes) {
-            // A caller that left leaves its claim to the task that runs its work.
-            let _ = waiting.answer.send(outcome);
+        for (queued, outcome) in batch.into_iter().zip(outcomes) {
+            // The send fails only if the task that waits for the claim has ended.
+            let _ = queued.answer.send(outcome);
         }
     }
 }
@@ -143,13 +149,13 @@
 async fn write_receipts(
     worker: Worker,
     (host, incarnation): (HostName, Incarnation),
-    mut received: mpsc::Receiver<ReceiptWrite>,
+    mut receipts: mpsc::Receiver<ReceiptWrite>,
 ) {
-    while let Some(group) = gather(&mut received, RECEIPT_LINGER).await {
+    while let Some(batch) = next_batch(&mut receipts, RECEIPT_BATCH_DELAY).await {
         loop {
-            let (host, group) = (host.clone(), group.clone());
+            let (host, batch) = (host.clone(), batch.clone());
             let written = worker
-                .run(move |platform| ClaimStore::new(platform, host, incarnation).finish(&group))
+                .run(move |platform| ClaimStore::new(platform, host, incarnation).finish(&batch))
                 .await;
             match written {
                 Ok(Ok(())) => break,
@@ -157,7 +163,7 @@
                 Err(WorkerError::Full) => {}
                 Err(WorkerError::Ended) => return,
             }
-            sleep(RECEIPT_RETRY).await;
+            sleep(RECEIPT_RETRY_DELAY).await;
         }
     }
 }
--- a/src/host/configuration.rs
+++ b/src/host/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: polled, proposed, taken from and given to other hosts.
+//! Configurations: polled from the platform, proposed to it, and exchanged with other hosts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,21 +11,23 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use super::control::{Control, POLLERS, timer};
+use super::control::{Control, POLLERS_PER_ZONE, timer};
 
-const POLL_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Control {
-    pub async fn polls(self: Rc<Self>) {
-        let mut timer = timer(POLL_EVERY);
+    /// Polls the platform at regular intervals while this host is one of the zone's pollers.
+    pub async fn poll_loop(self: Rc<Self>) {
+        let mut timer = timer(POLL_INTERVAL);
         loop {
             timer.tick().await;
-            if self.is_among("poll", POLLERS) {
+            if self.is_among_first("poll", POLLERS_PER_ZONE) {
                 self.poll().await;
             }
         }
     }
 
+    /// Reads new configuration changes from the platform.
     pub async fn poll(self: &Rc<Self>) {
         let mut history = self.state.borrow().history.clone();
         let polled = self.worker.run(move |platform| {
@@ -36,13 +38,13 @@
             return;
         };
         match result {
-            Ok(()) => self.state.borrow_mut().store_answered = Some(clock::now()),
+            Ok(()) => self.state.borrow_mut().store_answered_at = Some(clock::now()),
             Err(error) => tracing::debug!(event = "poll_failed", %error),
         }
         self.adopt(history);
     }
 
-    /// Takes a history that is ahead, and tells the hosts of the zone.
+    /// Adopts a history that is newer than the own one, and sends its changes to other hosts.
     pub fn adopt(self: &Rc<Self>, history: History) {
         let before = self.state.borrow().history.revision();
         if history.revision() <= before {
@@ -50,14 +52,14 @@
         }
         let entries = history.entries_after(before);
         self.state.borrow_mut().history = history;
-        self.in_force_now();
+        self.apply_configuration();
         for entry in entries.unwrap_or_default() {
             self.push(&entry);
         }
     }
 
-    /// The configuration has changed: views follow at once.
-    pub fn in_force_now(&self) {
+    /// Publishes a view of the changed configuration at once.
+    pub fn apply_configuration(&self) {
         self.publish();
         let position = self.state.borrow().history.position().clone();
         tracing::info!(
@@ -68,6 +70,7 @@
         );
     }
 
+    /// Proposes a change to the platform and sends the outcome to `answer`.
     pub async fn propose(self: Rc<Self>, proposal: Proposal, answer: oneshot::Sender<Verdict>) {
         let mut history = self.state.borrow().history.clone();
         let id = proposal.change.id.clone();
@@ -83,11 +86,12 @@
             Err(error) => Verdict::Unavailable(error.to_string()),
         };
         tracing::info!(event = "proposal", change = id, verdict = ?verdict);
-        // The operator may have given up; asking again with the same id tells.
+        // The operator's request may have timed out. A repetition with the same change
+        // identity returns the outcome.
         drop(answer.send(verdict));
     }
 
-    /// Sends an accepted change to the zone's hosts, and to one host of each other zone.
+    /// Sends an accepted change to the hosts of the zone, and to one host of each other zone.
     pub fn push(self: &Rc<Self>, entry: &Entry) {
         for address in self.push_targets() {
             let client = self.client(address);
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Sends a change that came from another zone to the zone's hosts.
+    /// Sends a change that came from another zone to the hosts of this zone.
     pub fn push_in_zone(self: &Rc<Self>, entry: &Entry) {
         for address in self.zone_peers() {
             let client = self.client(address);
@@ -109,6 +113,7 @@
         }
     }
 
+    /// Peer addresses of the hosts of the zone, and of one host of each other zone.
     pub fn push_targets(&self) -> Vec<SocketAddr> {
         let others = self.other_zones();
         let key = format!("push/{}", self.me.entry.name);
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: configuration, membership and load, published as views.
+//! The control thread: keeps configuration, membership and load, and publishes them as views.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -25,16 +25,19 @@
 use super::state::{Command, State};
 use crate::config::Config;
 
-const LIST_EVERY: Duration = Duration::from_secs(2);
-const LIST_EVERY_OTHERS: Duration = Duration::from_secs(15);
-const START_RETRY: Duration = Duration::from_millis(100);
-/// A start that is cut off from the platform and from all others serves after this.
-const OTHERS_LIMIT: Duration = Duration::from_secs(5);
-/// Hosts of a zone that poll the platform.
-pub const POLLERS: usize = 2;
+/// Time between two reads of the platform's host list by the pollers of a zone.
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two reads of the platform's host list by the other hosts.
+const HOST_LIST_INTERVAL_OTHERS: Duration = Duration::from_secs(15);
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time after which a new host serves although it has heard neither from the platform nor from
+/// other hosts.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Hosts of each zone that poll the platform for new configurations.
+pub const POLLERS_PER_ZONE: usize = 2;
 pub const PEER_DEADLINE: Duration = Duration::from_millis(1_000);
 
-/// What the control thread is made with.
+/// Parameters of the control thread.
 pub struct ControlParts {
     pub config: Config,
     pub shared: Arc<SharedState>,
@@ -42,11 +45,11 @@
     pub me: ListedHost,
     pub incarnation: Incarnation,
     pub commands: mpsc::UnboundedReceiver<Command>,
-    pub notes: Receiver<LoadObservation>,
+    pub observations: Receiver<LoadObservation>,
     pub ready: watch::Sender<bool>,
 }
 
-/// The control thread's tasks share this.
+/// State that the tasks of the control thread share.
 pub struct Control {
     pub config: Config,
     pub shared: Arc<SharedState>,
@@ -54,15 +57,15 @@
     pub me: ListedHost,
     pub incarnation: Incarnation,
     pub state: RefCell<State>,
-    /// This host, as its connections to others share it.
+    /// Identity of this host, shared by its connections to other hosts.
     pub local: Local,
     clients: RefCell<HashMap<SocketAddr, Rc<PeerClient>>>,
-    pub notes: Receiver<LoadObservation>,
+    pub observations: Receiver<LoadObservation>,
     ready: watch::Sender<bool>,
 }
 
 impl Control {
-    /// Runs until a command ends it.
+    /// Runs until [`Command::End`] arrives.
     pub fn run(parts: ControlParts, peers: TcpListener) {
         let runtime = Builder::new_current_thread().enable_all().build();
         let runtime = match runtime {
@@ -94,22 +97,22 @@
             me: parts.me,
             incarnation: parts.incarnation,
             clients: RefCell::default(),
-            notes: parts.notes,
+            observations: parts.observations,
             ready: parts.ready,
             state: RefCell::new(State {
                 history: History::default(),
                 plan: Arc::default(),
-                planned: 0,
+                plan_revision: 0,
                 membership,
                 beliefs: Default::default(),
-                summaries: HashMap::new(),
-                heard_loads: HashMap::new(),
+                known_zones: HashMap::new(),
+                received_loads: HashMap::new(),
                 listed: Vec::new(),
                 last_listed: HashMap::new(),
                 roster: Default::default(),
-                own: HashMap::new(),
-                store_answered: None,
-                list_answered: false,
+                own_counts: HashMap::new(),
+                store_answered_at: None,
+                host_list_read: false,
             }),
         });
         control.publish();
@@ -121,24 +124,24 @@
             Err(error) => tracing::error!(event = "peers_failed", %error),
         }
         spawn_local(Rc::clone(&control).register());
-        spawn_local(Rc::clone(&control).heartbeats());
-        spawn_local(Rc::clone(&control).exchanges());
-        spawn_local(Rc::clone(&control).polls());
-        spawn_local(Rc::clone(&control).lists());
-        spawn_local(Rc::clone(&control).loans());
-        spawn_local(Rc::clone(&control).rosters());
-        spawn_local(Rc::clone(&control).publishes());
+        spawn_local(Rc::clone(&control).heartbeat_loop());
+        spawn_local(Rc::clone(&control).exchange_loop());
+        spawn_local(Rc::clone(&control).poll_loop());
+        spawn_local(Rc::clone(&control).host_list_loop());
+        spawn_local(Rc::clone(&control).loan_loop());
+        spawn_local(Rc::clone(&control).roster_loop());
+        spawn_local(Rc::clone(&control).publish_loop());
         spawn_local(Rc::clone(&control).become_ready());
         while let Some(command) = commands.recv().await {
             match command {
                 Command::End => break,
-                other => control.take(other),
+                other => control.handle_command(other),
             }
         }
     }
 
-    fn take(self: &Rc<Self>, command: Command) {
-        // Whoever asked may have given up; the answer is then of no use.
+    fn handle_command(self: &Rc<Self>, command: Command) {
+        // A failed send is ignored: the thread that asked no longer waits.
         match command {
             Command::Status(answer) => drop(answer.send(self.status())),
             Command::Dump(answer) => drop(answer.send(self.dump())),
@@ -149,28 +152,30 @@
             Command::Leave => {
                 self.state.borrow_mut().membership.leave();
                 self.publish();
-                self.beat_now();
+                self.send_heartbeats();
                 spawn_local(Rc::clone(self).register());
             }
             Command::End => {}
         }
     }
 
-    /// Serves callers from the first configuration on. A platform that answers
-    /// that there is none yet counts; one that is silent does not.
+    /// Lets the host serve callers once it knows the configuration and has discovered others.
+    ///
+    /// An answer of the platform that there is no configuration yet suffices; no answer does
+    /// not.
     async fn become_ready(self: Rc<Self>) {
         loop {
             let has_revision = self.state.borrow().history.revision() > 0;
-            let store_answered = self.state.borrow().store_answered.is_some();
+            let store_answered = self.state.borrow().store_answered_at.is_some();
             if has_revision || store_answered {
                 break;
             }
             self.poll().await;
-            sleep(START_RETRY).await;
+            sleep(STARTUP_RETRY_DELAY).await;
         }
         let begun = clock::now();
-        while !self.knows_others() && clock::elapsed(begun) < OTHERS_LIMIT {
-            sleep(START_RETRY).await;
+        while !self.has_discovered_others() && clock::elapsed(begun) < DISCOVERY_TIMEOUT {
+            sleep(STARTUP_RETRY_DELAY).await;
         }
         self.publish();
         let _ = self.ready.send(true);
@@ -178,14 +183,14 @@
         tracing::info!(event = "ready", host = self.me.entry.name, revision);
     }
 
-    /// Whether it has heard of other hosts, or that there are none: without them it
-    /// would refuse what they can answer.
-    fn knows_others(&self) -> bool {
+    /// Whether the host has discovered the other hosts, or that there are none. Before that it
+    /// would refuse requests that they could serve.
+    fn has_discovered_others(&self) -> bool {
         let state = self.state.borrow();
-        state.list_answered || !state.summaries.is_empty()
+        state.host_list_read || !state.known_zones.is_empty()
     }
 
-    /// Tells the platform of this start, again until it has answered.
+    /// Registers this incarnation with the platform; retries until this succeeds.
     async fn register(self: Rc<Self>) {
         loop {
             let mut me = self.me.clone();
@@ -193,42 +198,44 @@
                 .shared
                 .leaving
                 .load(std::sync::atomic::Ordering::Acquire);
-            let told = self
+            let registered = self
                 .worker
                 .run(move |platform| platform.register(&me))
                 .await;
-            if let Ok(Ok(())) = told {
+            if let Ok(Ok(())) = registered {
                 return;
             }
-            sleep(START_RETRY).await;
+            sleep(STARTUP_RETRY_DELAY).await;
         }
     }
 
-    pub async fn lists(self: Rc<Self>) {
+    /// Reads the platform's host list at regular intervals.
+    pub async fn host_list_loop(self: Rc<Self>) {
         loop {
             let listed = self.worker.run(|platform| platform.hosts()).await;
             if let Ok(Ok(listed)) = listed {
-                self.take_list(listed);
+                self.update_host_list(listed);
             }
-            let answered = self.state.borrow().list_answered;
-            let every = match self.is_among("poll", POLLERS) {
-                _ if !answered => START_RETRY,
-                true => LIST_EVERY,
-                false => LIST_EVERY_OTHERS,
+            let host_list_read = self.state.borrow().host_list_read;
+            let interval = match self.is_among_first("poll", POLLERS_PER_ZONE) {
+                _ if !host_list_read => STARTUP_RETRY_DELAY,
+                true => HOST_LIST_INTERVAL,
+                false => HOST_LIST_INTERVAL_OTHERS,
             };
-            sleep(every).await;
+            sleep(interval).await;
         }
     }
 
-    pub fn take_list(&self, listed: Vec<ListedHost>) {
+    /// Stores the platform's host list that was just read.
+    pub fn update_host_list(&self, listed: Vec<ListedHost>) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        state.store_answered = Some(now);
-        state.list_answered = true;
+        state.store_answered_at = Some(now);
+        state.host_list_read = true;
         for host in &listed {
             if let Some(incarnation) = host.incarnation {
-                let start = (host.entry.name.clone(), incarnation);
-                state.last_listed.insert(start, now);
+                let key = (host.entry.name.clone(), incarnation);
+                state.last_listed.insert(key, now);
             }
         }
         state.listed = listed;
@@ -236,7 +243,8 @@
         self.confirm_gone(now);
     }
 
-    /// Starts that the list has not shown for longer than it lags are gone.
+    /// Reports incarnations as gone that the platform has not listed for longer than its list
+    /// may lag.
     pub fn confirm_gone(&self, now: Instant) {
         let lag = Duration::from_millis(self.config.host_list_lag_ms).max(LOAN_LAPSE * 2);
         let mut gone = Vec::new();
@@ -257,8 +265,8 @@
         }
     }
 
-    /// Whether this host is among the first `count` of its zone for a task.
-    pub fn is_among(&self, task: &str, count: usize) -> bool {
+    /// Whether this host ranks among the first `count` hosts of its zone for a task.
+    pub fn is_among_first(&self, task: &str, count: usize) -> bool {
         let staying = self.state.borrow().membership.staying(clock::now());
         let key = format!("{task}/{}", self.me.entry.zone);
         let ranked = rendezvous::rank(&key, staying.iter().map(|host| host.name.as_str()));
@@ -268,7 +276,7 @@
             .any(|name| *name == self.me.entry.name)
     }
 
-    /// A client of the host with this peer address.
+    /// The client for the host with this peer address, created on first use.
     pub fn client(&self, address: SocketAddr) -> Rc<PeerClient> {
         let make = || {
             let local = self.local.clone();
@@ -282,14 +290,15 @@
         )
     }
 
-    /// Drops clients of addresses that nobody uses any more.
+    /// Removes clients of addresses that are not in `used` and have no call in progress.
     pub fn drop_clients(&self, used: &[SocketAddr]) {
         self.clients
             .borrow_mut()
             .retain(|address, client| used.contains(address) || Rc::strong_count(client) > 1);
     }
 
-    /// Peer addresses of the zone's other hosts, as far as they are known.
+    /// Peer addresses of the other hosts of the zone that are known from heartbeats or from the
+    /// platform's list.
     pub fn zone_peers(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
         let present = state.membership.present(clock::now());
@@ -306,7 +315,7 @@
         peers
     }
 
-    /// Known hosts of other zones.
+    /// Known hosts of other zones, by zone.
     pub fn other_zones(&self) -> BTreeMap<String, Vec<HostEntry>> {
         let state = self.state.borrow();
         let mut hosts = self.known_hosts(&state, clock::now());
@@ -315,9 +324,9 @@
     }
 }
 
-/// A timer that drops ticks it has missed.
-pub fn timer(every: Duration) -> tokio::time::Interval {
-    let mut timer = interval(every);
+/// A timer that does not make up for missed ticks.
+pub fn timer(period: Duration) -> tokio::time::Interval {
+    let mut timer = interval(period);
     timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     timer
 }
@@ -327,7 +336,7 @@
     tokio::net::TcpListener::from_std(peers)
 }
 
-/// Reads or changes the zone's roster on the platform's thread.
+/// Reads or changes the zone's roster in the platform's store, on the worker's thread.
 pub async fn with_roster(
     worker: &Worker,
     zone: String,
--- a/src/host/spread.rs
+++ b/src/host/gossip.rs
@@ -1,4 +1,5 @@
-//! Heartbeats in the zone, and exchanges with random hosts in it and beyond.
+//! Heartbeats to the hosts of the zone, and gossip exchanges with random hosts of the own
+//! and of other zones.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -14,30 +15,32 @@
 use tokio::time::sleep;
 
 use super::control::Control;
-use super::state::HeldSummary;
+use super::state::KnownZone;
 
-const EXCHANGE_AT_LEAST_EVERY: Duration = Duration::from_secs(1);
-/// Time between exchanges grows with the zones, so that their summaries stay cheap.
-const EXCHANGE_EVERY_BY_ZONE: Duration = Duration::from_millis(25);
-/// One exchange in so many goes to another zone, where the own has other hosts.
-const ACROSS_ONE_IN: u32 = 3;
-/// Summaries in one exchange: fewer where there are many zones.
-const SUMMARIES: RangeInclusive<usize> = 2..=8;
-/// Summaries in one exchange times zones, between those bounds.
-const SUMMARIES_BY_ZONES: usize = 64;
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval between exchanges grows with the number of zones, since there are more
+/// summaries to send.
+const EXCHANGE_INTERVAL_PER_ZONE: Duration = Duration::from_millis(25);
+/// One exchange in this many goes to another zone. A host that is alone in its zone exchanges
+/// with other zones only.
+const CROSS_ZONE_ONE_IN: u32 = 3;
+/// Bounds on the summaries in one exchange; the more zones there are, the fewer are sent.
+const SUMMARIES_PER_EXCHANGE: RangeInclusive<usize> = 2..=8;
+/// Summaries in one exchange times number of zones, within [`SUMMARIES_PER_EXCHANGE`].
+const SUMMARIES_TIMES_ZONES: usize = 64;
 
 impl Control {
-    /// Sends heartbeats to the zone's hosts for ever.
-    pub async fn heartbeats(self: Rc<Self>) {
+    /// Sends heartbeats to the hosts of the zone at regular intervals.
+    pub async fn heartbeat_loop(self: Rc<Self>) {
         loop {
-            self.beat_now();
-            let every = self.state.borrow().membership.timing().beat_every;
-            sleep(every).await;
+            self.send_heartbeats();
+            let interval = self.state.borrow().membership.timing().beat_every;
+            sleep(interval).await;
         }
     }
 
-    /// Sends one heartbeat to each of the zone's hosts, and to seeds.
-    pub fn beat_now(self: &Rc<Self>) {
+    /// Sends one heartbeat to each host of the zone and to each seed address.
+    pub fn send_heartbeats(self: &Rc<Self>) {
         let now = clock::now();
         let mut targets = self.zone_peers();
         let seeds = self.config.seeds.iter().copied();
@@ -56,14 +59,14 @@
         };
         for address in targets {
             let client = self.client(address);
-            let busy = Rc::strong_count(&client) > MOST_CALLS;
+            let busy = Rc::strong_count(&client) > MAX_CLIENT_HANDLES;
             if !busy {
-                spawn_local(Rc::clone(self).beat(address, Rc::clone(&beat)));
+                spawn_local(Rc::clone(self).send_heartbeat(address, Rc::clone(&beat)));
             }
         }
     }
 
-    async fn beat(self: Rc<Self>, address: SocketAddr, beat: Rc<Beat>) {
+    async fn send_heartbeat(self: Rc<Self>, address: SocketAddr, beat: Rc<Beat>) {
         let client = self.client(address);
         match client.heartbeat(&beat).await {
             Ok(theirs) => {
@@ -76,41 +79,46 @@
         }
     }
 
-    /// Exchanges with random hosts for ever.
-    pub async fn exchanges(self: Rc<Self>) {
+    /// Exchanges configuration and summaries with a random host at regular intervals.
+    pub async fn exchange_loop(self: Rc<Self>) {
         loop {
-            if let Some(address) = self.draw_partner() {
+            if let Some(address) = self.choose_exchange_peer() {
                 spawn_local(Rc::clone(&self).exchange_once(address));
             }
             let mut used = self.zone_peers();
             used.extend(self.config.seeds.iter().copied());
             self.drop_clients(&used);
-            sleep(self.exchange_every()).await;
+            sleep(self.exchange_interval()).await;
         }
     }
 
-    fn exchange_every(&self) -> Duration {
+    fn exchange_interval(&self) -> Duration {
         let zones = self.state.borrow().plan.document.zones.len() as u32;
-        EXCHANGE_AT_LEAST_EVERY.max(EXCHANGE_EVERY_BY_ZONE * zones)
+        MIN_EXCHANGE_INTERVAL.max(EXCHANGE_INTERVAL_PER_ZONE * zones)
     }
 
     async fn exchange_once(self: Rc<Self>, address: SocketAddr) {
         self.exchange_with(address).await;
     }
 
-    fn draw_partner(&self) -> Option<SocketAddr> {
+    /// Draws the host for the next exchange; a seed address if no host is known.
+    fn choose_exchange_peer(&self) -> Option<SocketAddr> {
         let mut rng = rand::rng();
         let in_zone = self.zone_peers();
-        let across: Vec<SocketAddr> = self
+        let in_other_zones: Vec<SocketAddr> = self
             .other_zones()
             .values()
             .filter_map(|hosts| hosts.choose(&mut rng))
             .map(|host| host.peer_address)
             .collect();
         let seeds = || self.config.seeds.iter().copied();
-        let go_across = in_zone.is_empty() || rng.random_ratio(1, ACROSS_ONE_IN);
-        let first = if go_across { &across } else { &in_zone };
-        first
+        let cross_zone = in_zone.is_empty() || rng.random_ratio(1, CROSS_ZONE_ONE_IN);
+        let preferred = if cross_zone {
+            &in_other_zones
+        } else {
+            &in_zone
+        };
+        preferred
             .choose(&mut rng)
             .or_else(|| in_zone.choose(&mut rng))
             .copied()
@@ -121,14 +129,15 @@
             })
     }
 
-    /// Exchanges with one host until this one is no longer behind it.
+    /// Exchanges with one host until this host has its configuration revision, or makes no
+    /// more progress.
     pub async fn exchange_with(self: &Rc<Self>, address: SocketAddr) {
         let client = self.client(address);
         let in_zone = self.zone_peers().contains(&address);
         loop {
             let exchange = Exchange {
                 position: self.state.borrow().history.position().clone(),
-                summaries: self.some_summaries(in_zone),
+                summaries: self.choose_summaries(in_zone),
             };
             let reply = match client.exchange(&exchange).await {
                 Ok(reply) => reply,
@@ -139,7 +148,7 @@
             };
             let before = self.state.borrow().history.revision();
             let theirs = reply.position.clone();
-            self.take_reply(reply);
+            self.apply_reply(reply);
             let position = self.state.borrow().history.position().clone();
             if theirs.revision == position.revision && theirs.digest != position.digest {
                 tracing::error!(event = "histories_differ", %address, revision = theirs.revision);
@@ -150,32 +159,34 @@
         }
     }
 
-    fn take_reply(&self, reply: ExchangeReply) {
+    fn apply_reply(&self, reply: ExchangeReply) {
         for summary in reply.summaries {
-            self.take_summary(summary);
+            self.merge_summary(summary);
         }
         let before = self.state.borrow().history.revision();
         {
             let history = &mut self.state.borrow_mut().history;
-            let mut taken = reply
+            let mut applied = reply
                 .snapshot
                 .iter()
                 .try_for_each(|snapshot| history.install(snapshot).map(|_| ()));
             for entry in &reply.entries {
-                taken = taken.and_then(|()| history.accept(entry).map(|_| ()));
+                applied = applied.and_then(|()| history.accept(entry).map(|_| ()));
             }
-            if let Err(error) = taken {
+            if let Err(error) = applied {
                 tracing::warn!(event = "exchange_refused", %error);
             }
         }
         if self.state.borrow().history.revision() > before {
-            self.in_force_now();
+            self.apply_configuration();
         }
     }
 
-    /// Summaries of zones drawn at random, the first with its hosts; before them the
-    /// own zone's, which the hosts of the own zone need not be told.
-    pub fn some_summaries(&self, in_zone: bool) -> Vec<ZoneSummary> {
+    /// Summaries for one exchange, of zones drawn at random.
+    ///
+    /// Only the first of these contains the zone's hosts. A host of another zone also gets
+    /// the summary of this host's zone, which the hosts within the zone know already.
+    pub fn choose_summaries(&self, in_zone: bool) -> Vec<ZoneSummary> {
         let mut summaries = Vec::new();
         if !in_zone {
             summaries.push(self.own_summary());
@@ -183,19 +194,23 @@
         let now = clock::now();
         let state = self.state.borrow();
         let zones = state.plan.document.zones.len().max(1);
-        let most = (SUMMARIES_BY_ZONES / zones).clamp(*SUMMARIES.start(), *SUMMARIES.end());
+        let max_summaries = (SUMMARIES_TIMES_ZONES / zones).clamp(
+            *SUMMARIES_PER_EXCHANGE.start(),
+            *SUMMARIES_PER_EXCHANGE.end(),
+        );
         let others = state
-            .summaries
+            .known_zones
             .iter()
-            .choose_multiple(&mut rand::rng(), most - summaries.len());
+            .choose_multiple(&mut rand::rng(), max_summaries - summaries.len());
         let others = others.into_iter().enumerate();
-        let passed_on = |(number, (zone, held)): (usize, (&ZoneName, &HeldSummary))| {
-            held.pass_on(zone, now, number == 0)
+        let to_summary = |(index, (zone, known)): (usize, (&ZoneName, &KnownZone))| {
+            known.to_summary(zone, now, index == 0)
         };
-        summaries.extend(others.filter_map(passed_on));
+        summaries.extend(others.filter_map(to_summary));
         summaries
     }
 }
 
-/// Calls to one host at the same time, with the handles that are kept besides.
-const MOST_CALLS: usize = 6;
+/// Most handles of the client for one host while heartbeats are still sent to it. Each call
+/// in progress has one; the map of clients and the current task have one each.
+const MAX_CLIENT_HANDLES: usize = 6;
--- a/src/host/handler.rs
+++ b/src/host/handler.rs
@@ -1,4 +1,4 @@
-//! What the control thread does with messages of other hosts.
+//! Handles messages of other hosts on the control thread.
 
 use std::rc::Rc;
 
@@ -11,23 +11,23 @@
 
 use super::control::Control;
 
-/// The control thread as other hosts see it.
+/// Handler of messages of other hosts; all state is in [`Control`].
 pub struct Handler(pub Rc<Control>);
 
 impl PeerHandler for Handler {
     fn heartbeat(&self, beat: Beat) -> Revision {
         let host = beat.heartbeat.host.clone();
-        let taken = self
+        let accepted = self
             .0
             .state
             .borrow_mut()
             .membership
             .heard(clock::now(), beat.heartbeat);
         let mine = self.0.state.borrow().history.revision();
-        if !taken {
+        if !accepted {
             return mine;
         }
-        self.0.take_loads(&host.name, beat.loads);
+        self.0.record_loads(&host.name, beat.loads);
         if beat.revision > mine {
             let control = Rc::clone(&self.0);
             spawn_local(async move { control.exchange_with(host.peer_address).await });
@@ -37,10 +37,10 @@
 
     fn exchange(&self, from: &HostEntry, exchange: Exchange) -> ExchangeReply {
         for summary in exchange.summaries {
-            self.0.take_summary(summary);
+            self.0.merge_summary(summary);
         }
         let in_zone = from.zone == self.0.me.entry.zone;
-        let summaries = self.0.some_summaries(in_zone);
+        let summaries = self.0.choose_summaries(in_zone);
         let state = self.0.state.borrow();
         let theirs = exchange.position.revision;
         let entries = state.history.entries_after(theirs);
@@ -63,7 +63,7 @@
         match accepted {
             Ok(false) => {}
             Ok(true) => {
-                self.0.in_force_now();
+                self.0.apply_configuration();
                 if !self.is_in_zone(from) {
                     self.0.push_in_zone(&entry);
                 }
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -1,4 +1,4 @@
-//! The zone's limits: the roster that splits them, and loans between hosts.
+//! The zone's limits: the roster that divides them into shares, and loans between hosts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,53 +11,56 @@
 
 use super::control::{Control, timer, with_roster};
 
-const LOANS_EVERY: Duration = Duration::from_millis(100);
-/// Well within the time in which a loan lapses.
-const RENEW_EVERY_TICKS: u32 = 10;
-const ROSTER_EVERY: Duration = Duration::from_secs(1);
-/// Thousandths that a host may have over its fair part before it gives them back.
-const SLACK_PERMILLE: u32 = 10;
-const LEAST_WANTED: Units = 4;
+const LOAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Loan intervals between two renewals of the loans; well within the time after which a loan
+/// expires.
+const RENEWAL_TICKS: u32 = 10;
+const ROSTER_INTERVAL: Duration = Duration::from_secs(1);
+/// Thousandths of the limits that a host may hold over its fair share before it returns them.
+const SHARE_SLACK_PERMILLE: u32 = 10;
+/// Smallest loan that a host asks for.
+const MIN_LOAN: Units = 4;
 
 impl Control {
-    /// Borrows where requests are refused, renews what is needed, gives back the rest.
-    pub async fn loans(self: Rc<Self>) {
-        let mut timer = timer(LOANS_EVERY);
+    /// Borrows from other hosts where requests are refused, renews the loans that are still
+    /// needed, and returns the others.
+    pub async fn loan_loop(self: Rc<Self>) {
+        let mut timer = timer(LOAN_INTERVAL);
         let mut tick: u32 = 0;
         loop {
             timer.tick().await;
             tick = tick.wrapping_add(1);
-            let short = self.shared.ledger().short();
-            for (key, refused) in short {
+            let shortages = self.shared.ledger().short();
+            for (key, refused) in shortages {
                 let others = self.zone_others();
                 if let Some(lender) = others.choose(&mut rand::rng()) {
-                    let want = Want::More(refused.max(LEAST_WANTED));
-                    self.spawn_ask(key, &lender.name, want);
+                    let want = Want::More(refused.max(MIN_LOAN));
+                    self.spawn_loan_request(key, &lender.name, want);
                 }
             }
-            if tick.is_multiple_of(RENEW_EVERY_TICKS) {
-                self.renew();
+            if tick.is_multiple_of(RENEWAL_TICKS) {
+                self.renew_loans();
             }
         }
     }
 
-    fn renew(self: &Rc<Self>) {
+    fn renew_loans(self: &Rc<Self>) {
         let loans = self.shared.ledger().loans(clock::now());
         for loan in loans {
             let want = if loan.needed { Want::Same } else { Want::Less };
-            self.spawn_ask(loan.limit, &loan.lender, want);
+            self.spawn_loan_request(loan.limit, &loan.lender, want);
         }
     }
 
-    fn spawn_ask(self: &Rc<Self>, key: LimitKey, lender: &str, want: Want) {
+    fn spawn_loan_request(self: &Rc<Self>, key: LimitKey, lender: &str, want: Want) {
         let others = self.zone_others();
         if let Some(lender) = others.into_iter().find(|host| host.name == lender) {
             let control = Rc::clone(self);
-            spawn_local(async move { control.ask(&key, &lender, want).await });
+            spawn_local(async move { control.request_loan(&key, &lender, want).await });
         }
     }
 
-    async fn ask(&self, key: &LimitKey, lender: &HostEntry, want: Want) {
+    async fn request_loan(&self, key: &LimitKey, lender: &HostEntry, want: Want) {
         let now = clock::now();
         let request = self.shared.ledger().request(now, key, &lender.name, want);
         let Some(request) = request else {
@@ -82,20 +85,21 @@
         others.collect()
     }
 
-    /// Keeps this host's part of the zone's limits, by the platform's roster.
-    pub async fn rosters(self: Rc<Self>) {
-        let mut timer = timer(ROSTER_EVERY);
+    /// Updates this host's share of the zone's limits in the platform's roster at regular
+    /// intervals.
+    pub async fn roster_loop(self: Rc<Self>) {
+        let mut timer = timer(ROSTER_INTERVAL);
         loop {
             timer.tick().await;
             let zone = &self.me.entry.zone;
             let has_limits = !self.state.borrow().plan.zone_limits(zone).is_empty();
             if has_limits {
-                self.keep_part().await;
+                self.update_share().await;
             }
         }
     }
 
-    async fn keep_part(&self) {
+    async fn update_share(&self) {
         let (name, incarnation) = (self.me.entry.name.clone(), self.incarnation);
         let staying = self.state.borrow().membership.staying(clock::now());
         let leaving = !staying.iter().any(|host| host.name == name);
@@ -103,37 +107,40 @@
             true => 0,
             false => Roster::fair_permille(staying.len()),
         };
-        let keep = self.lower(fair);
-        let gone = self.gone_parts();
+        let keep = self.lower_share(fair);
+        let gone = self.reclaimable_shares();
         let updated = with_roster(&self.worker, self.me.entry.zone.clone(), move |roster| {
             for (host, incarnation) in &gone {
                 roster.free(host, *incarnation);
             }
             if let Some(keep) = keep {
-                // Not this start's any more: there is nothing to give.
+                // The share may belong to another incarnation by now. Then there is nothing
+                // to return.
                 let _ = roster.give(&name, incarnation, keep);
             }
-            // An earlier start's part is freed once the platform's list says so.
+            // This fails while an earlier incarnation still holds a share, which is freed once
+            // the platform no longer lists that incarnation.
             let _ = roster.take(&name, incarnation, fair);
         });
         match updated.await {
             Ok(roster) => {
                 self.state.borrow_mut().roster = roster;
-                self.use_roster();
+                self.apply_roster();
             }
             Err(error) => tracing::debug!(event = "roster_failed", error),
         }
     }
 
-    /// Stops using what is over the fair part, before it is given back.
+    /// Stops using the excess over the fair share, before it is returned to the roster.
     ///
-    /// Returns what is kept: never less than is in use or lent.
-    fn lower(&self, fair: u32) -> Option<u32> {
+    /// Returns the new share in thousandths, which is never less than is in use or lent; `None`
+    /// if the share does not change.
+    fn lower_share(&self, fair: u32) -> Option<u32> {
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
         let name = &self.me.entry.name;
         let held = state.roster.permille(name, self.incarnation);
-        if held <= fair + SLACK_PERMILLE && fair > 0 || held == 0 {
+        if held <= fair + SHARE_SLACK_PERMILLE && fair > 0 || held == 0 {
             return None;
         }
         let mut ledger = self.shared.ledger();
@@ -146,49 +153,51 @@
         Some(keep)
     }
 
-    fn use_roster(&self) {
+    fn apply_roster(&self) {
         let state = self.state.borrow();
         let limits = state.plan.zone_limits(&self.me.entry.zone);
         let mut ledger = self.shared.ledger();
         ledger.configure(clock::now(), &limits, &state.roster);
     }
 
-    /// Parts of starts that are certainly gone, and of which nobody holds anything.
+    /// Incarnations that are certainly gone, and whose shares no host holds a loan of.
     ///
-    /// Gone: the platform's list has not shown the start for longer than it lags,
-    /// and for longer than its loans are good for new work.
-    fn gone_parts(&self) -> Vec<(HostName, Incarnation)> {
+    /// An incarnation is gone if the platform has not listed it for longer than the list may
+    /// lag, and for longer than its loans allow new requests.
+    fn reclaimable_shares(&self) -> Vec<(HostName, Incarnation)> {
         let lag = Duration::from_millis(self.config.host_list_lag_ms).max(LOAN_LAPSE * 2);
         let now = clock::now();
         let state = self.state.borrow();
         let list_age = state
-            .store_answered
+            .store_answered_at
             .map(|at| now.saturating_duration_since(at));
-        // What this start has not watched for long enough can't be judged.
-        let watched = clock::elapsed(self.shared.started) > lag;
-        if !watched || list_age.is_none_or(|age| age > lag) {
+        // This incarnation must have watched the list for long enough itself.
+        let watched_long_enough = clock::elapsed(self.shared.started) > lag;
+        if !watched_long_enough || list_age.is_none_or(|age| age > lag) {
             return Vec::new();
         }
         let is_listed = |host: &HostName, incarnation: Incarnation| {
             let seen = state.last_listed.get(&(host.clone(), incarnation));
             seen.is_some_and(|seen| now.saturating_duration_since(*seen) <= lag)
         };
-        let starts = state
+        let holders = state
             .roster
             .parts
             .iter()
             .map(|(host, part)| (host, part.incarnation));
-        let (here, gone): (Vec<_>, Vec<_>) =
-            starts.partition(|(host, incarnation)| is_listed(host, *incarnation));
-        let mine = self.shared.ledger().lenders(now);
-        let nobody_holds = |lender: &HostName| {
-            let others = here.iter().filter(|(host, _)| **host != self.me.entry.name);
+        let (present, gone): (Vec<_>, Vec<_>) =
+            holders.partition(|(host, incarnation)| is_listed(host, *incarnation));
+        let own_lenders = self.shared.ledger().lenders(now);
+        let is_unborrowed = |lender: &HostName| {
+            let others = present
+                .iter()
+                .filter(|(host, _)| **host != self.me.entry.name);
             let mut others = others.map(|(host, _)| host);
-            !mine.contains(lender)
+            !own_lenders.contains(lender)
                 && others.all(|host| state.membership.holds_nothing_of(now, host, lender))
         };
         gone.into_iter()
-            .filter(|(host, _)| nobody_holds(host))
+            .filter(|(host, _)| is_unborrowed(host))
             .map(|(host, incarnation)| (host.clone(), incarnation))
             .collect()
     }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,14 +1,14 @@
-//! A running host: its threads and how they are wired.
+//! A running host: starts its threads, connects them by channels, and stops them.
 
 mod claims;
 mod configuration;
 mod control;
+mod gossip;
 mod handler;
 mod loans;
 mod operator;
 mod probes;
 mod report;
-mod spread;
 mod state;
 mod views;
 
@@ -37,27 +37,29 @@
 use control::{Control, ControlParts};
 use state::Command;
 
-const PLATFORM_JOBS_LIMIT: usize = 4_096;
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Most calls to the platform that wait in each of its two queues.
+const MAX_PLATFORM_JOBS: usize = 4_096;
+/// Time between two checks for requests in flight during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a host could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum HostError {
-    /// An address can't be listened on.
+    /// The host can't listen on an address.
     #[display("{name}: {source}")]
     #[from(skip)]
     Listen {
-        /// The setting.
+        /// Name of the setting with the address.
         name: &'static str,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A thread can't be started.
+    /// A thread or a runtime can't be started.
     #[display("{_0}")]
     Thread(io::Error),
 }
 
-/// Sockets of a host, bound before it starts.
+/// Listening sockets of a host, bound before the host starts.
 pub struct Sockets {
     callers: TcpListener,
     relays: TcpListener,
@@ -65,21 +67,25 @@
     operators: TcpListener,
 }
 
-/// Where a host listens.
+/// Addresses on which a host listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// Requests of callers.
     pub caller: SocketAddr,
-    /// For relayed requests.
+    /// Requests that other hosts relay.
     pub relay: SocketAddr,
-    /// For other hosts.
+    /// Messages of other hosts.
     pub peer: SocketAddr,
-    /// For operators.
+    /// The operators' interface.
     pub operator: SocketAddr,
 }
 
 impl Sockets {
-    /// Binds the addresses of the settings; port 0 takes any free one.
+    /// Binds the addresses of the settings; port 0 takes any free port.
+    ///
+    /// # Errors
+    ///
+    /// [`HostError::Listen`] for the first address that can't be bound.
     pub fn bind(config: &Config) -> Result<Sockets, HostError> {
         let bind = |name, address: SocketAddr| {
             TcpListener::bind(address).map_err(|source| HostError::Listen { name, source })
@@ -92,7 +98,7 @@
         })
     }
 
-    /// Where they listen.
+    /// The bound addresses, with the ports that the system chose for port 0.
     pub fn addresses(&self) -> io::Result<Addresses> {
         Ok(Addresses {
             caller: self.callers.local_addr()?,
@@ -117,11 +123,15 @@
 }
 
 impl Host {
-    /// Starts a host on sockets that are bound already.
+    /// Starts a host on bound sockets.
+    ///
+    /// The host serves callers once it has a configuration from the platform or another host.
     ///
-    /// It serves callers once it has a configuration from the platform or a peer.
+    /// # Errors
+    ///
+    /// A thread, a runtime or the operators' server can't be started.
     pub fn start(config: Config, sockets: Sockets) -> Result<Host, HostError> {
-        // The recorder must be there before the first metric is counted.
+        // The recorder must be installed before the first metric is recorded.
         metrics_text::handle();
         let addresses = sockets.addresses()?;
         let incarnation: Incarnation = rand::rng().random();
@@ -140,7 +150,7 @@
             config.platform_address,
             Duration::from_millis(config.platform_timeout_ms),
         );
-        let spawn = |name| Worker::spawn(name, Box::new(platform.clone()), PLATFORM_JOBS_LIMIT);
+        let spawn = |name| Worker::spawn(name, Box::new(platform.clone()), MAX_PLATFORM_JOBS);
         let (claim_worker, control_worker) = (spawn("claims")?, spawn("platform")?);
         let traffic = Builder::new_multi_thread()
             .worker_threads(config.traffic_threads)
@@ -149,20 +159,20 @@
             .build()?;
         let claims = {
             let _entered = traffic.enter();
-            claims::GroupedClaims::start(claim_worker, me.name.clone(), incarnation)
+            claims::BatchedClaims::start(claim_worker, me.name.clone(), incarnation)
         };
-        let (notes, noted) = channel();
+        let (observation_sender, observations) = channel();
         let mut rng = rand::rng();
         let shared = Arc::new(SharedState::new(
             shared_config(&config),
             View::new(me.clone(), incarnation),
             Issuer::new(me.name.clone(), incarnation, &mut rng),
             Arc::new(claims),
-            notes,
+            observation_sender,
         ));
-        let (commands, commanded) = mpsc::unbounded_channel();
-        let (stop, stopped) = watch::channel(false);
-        let (ready, is_ready) = watch::channel(false);
+        let (command_sender, commands) = mpsc::unbounded_channel();
+        let (stop_sender, stop) = watch::channel(false);
+        let (ready_sender, ready) = watch::channel(false);
         let parts = ControlParts {
             config: config.clone(),
             shared: Arc::clone(&shared),
@@ -173,9 +183,9 @@
                 leaving: false,
             },
             incarnation,
-            commands: commanded,
-            notes: noted,
-            ready,
+            commands,
+            observations,
+            ready: ready_sender,
         };
         let peers = sockets.peers;
         let control = thread::Builder::new()
@@ -189,11 +199,11 @@
         let serving = traffic.spawn(serve_when_ready(
             Arc::clone(&shared),
             listeners,
-            is_ready,
-            stopped,
+            ready,
+            stop,
         ));
         let handler = operator::Handler {
-            commands: commands.clone(),
+            commands: command_sender.clone(),
         };
         let operator = OperatorServer::start(sockets.operators, Arc::new(handler))?;
         tracing::info!(
@@ -206,8 +216,8 @@
             addresses,
             config,
             shared,
-            commands,
-            stop,
+            commands: command_sender,
+            stop: stop_sender,
             traffic: Some(traffic),
             serving: Some(serving),
             control: Some(control),
@@ -215,47 +225,49 @@
         })
     }
 
-    /// Where it listens.
+    /// Addresses on which the host listens.
     pub fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Stops as planned: it leaves look-ups at once, serves until answers and
-    /// tickets that are out have lapsed, and ends when nothing is in flight.
+    /// Stops gracefully, and blocks until this is done.
+    ///
+    /// The host disappears from look-ups at once. It serves until all look-ups and tickets
+    /// given to callers have expired, and ends when no request is in flight.
     pub fn stop(mut self) {
         let begun = clock::now();
         tracing::info!(event = "leaving", host = self.config.host);
         self.shared.leaving.store(true, Ordering::Release);
         let _ = self.commands.send(Command::Leave);
-        let out = self.config.look_up_ttl().max(self.config.ticket_ttl());
-        thread::sleep(out);
+        let expiry = self.config.look_up_ttl().max(self.config.ticket_ttl());
+        thread::sleep(expiry);
         while self.shared.in_flight.load(Ordering::Acquire) > 0 {
-            thread::sleep(STOP_POLL);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         let _ = self.stop.send(true);
         if let (Some(traffic), Some(serving)) = (&self.traffic, self.serving.take()) {
             let _ = traffic.block_on(serving);
         }
-        self.end();
+        self.shut_down();
         let ms = clock::elapsed(begun).as_millis() as u64;
         tracing::info!(event = "stopped", host = self.config.host, ms);
     }
 
-    /// Ends at once, as a crash would: connections break, nothing is handed over.
+    /// Ends at once, as a crash would: connections break, and other hosts get no message.
     pub fn kill(mut self) {
         if let Some(serving) = self.serving.take() {
             serving.abort();
         }
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         let _ = self.commands.send(Command::End);
         if let Some(traffic) = self.traffic.take() {
             traffic.shutdown_background();
         }
         if let Some(control) = self.control.take() {
-            // A panic there was reported by its own hook.
+            // The panic hook has reported a panic of the control thread already.
             let _ = control.join();
         }
         self.operator = None;
@@ -264,7 +276,7 @@
 
 impl Drop for Host {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
--- a/src/host/operator.rs
+++ b/src/host/operator.rs
@@ -1,4 +1,4 @@
-//! Between the operators' endpoint and the control thread.
+//! Connects the operators' HTTP server to the control thread.
 
 use ::operator::{InForce, OperatorHandler, Status};
 use steering::document::{Proposal, Verdict};
@@ -7,17 +7,17 @@
 use super::state::Command;
 use crate::metrics_text;
 
-/// Passes operators' requests to the control thread.
+/// Forwards requests of operators to the control thread as commands.
 pub struct Handler {
-    /// To the control thread.
+    /// Channel to the control thread.
     pub commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Handler {
     fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
-        let (answer, answered) = oneshot::channel();
-        self.commands.send(command(answer)).ok()?;
-        answered.blocking_recv().ok()
+        let (sender, answer) = oneshot::channel();
+        self.commands.send(command(sender)).ok()?;
+        answer.blocking_recv().ok()
     }
 }
 
@@ -39,8 +39,8 @@
     }
 
     fn propose(&self, proposal: Proposal) -> Verdict {
-        let ended = "the host ended before it was told";
+        let stopped = "the host stopped before the outcome was known";
         self.ask(|answer| Command::Propose(Box::new(proposal), answer))
-            .unwrap_or_else(|| Verdict::Unknown(ended.to_owned()))
+            .unwrap_or_else(|| Verdict::Unknown(stopped.to_owned()))
     }
 }
--- a/src/host/probes.rs
+++ b/src/host/probes.rs
@@ -1,4 +1,4 @@
-//! Asks the upstreams of the pools that this host admits to for their load.
+//! Probes the upstreams of this host's pools for load reports.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,28 +8,34 @@
 use steering::document::Upstream;
 use tokio::time::interval;
 
-const EVERY: Duration = Duration::from_millis(250);
-const WITHIN: Duration = Duration::from_millis(1_000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Names of upstreams that are being asked.
-type Asked = Arc<Mutex<HashSet<String>>>;
+/// Names of upstreams with a probe in progress.
+type ProbesInProgress = Arc<Mutex<HashSet<String>>>;
 
-/// Probes for as long as the runtime lives.
+/// Probes all upstreams at regular intervals, until the runtime shuts down.
 pub async fn run(shared: Arc<SharedState>) {
-    let asked = Asked::default();
-    let mut timer = interval(EVERY);
+    let in_progress = ProbesInProgress::default();
+    let mut timer = interval(PROBE_INTERVAL);
     loop {
         timer.tick().await;
-        for (pool, upstream) in held_upstreams(&shared) {
-            let first = lock(&asked).insert(upstream.name.clone());
-            if first {
-                tokio::spawn(ask(Arc::clone(&shared), pool, upstream, Arc::clone(&asked)));
+        for (pool, upstream) in pool_upstreams(&shared) {
+            let is_new = lock(&in_progress).insert(upstream.name.clone());
+            if is_new {
+                tokio::spawn(probe(
+                    Arc::clone(&shared),
+                    pool,
+                    upstream,
+                    Arc::clone(&in_progress),
+                ));
             }
         }
     }
 }
 
-fn held_upstreams(shared: &SharedState) -> Vec<(String, Arc<Upstream>)> {
+/// Upstreams of this host's pools, each with the key of its pool.
+fn pool_upstreams(shared: &SharedState) -> Vec<(String, Arc<Upstream>)> {
     let view = shared.view.load();
     let zones = view
         .plan
@@ -40,26 +46,31 @@
         .flat_map(|zone| &zone.pools)
         .filter(|pool| shared.pools.has(&pool.key))
         .flat_map(|pool| {
-            let named = |upstream: &Arc<Upstream>| (pool.key.clone(), Arc::clone(upstream));
-            pool.upstreams.iter().map(named)
+            let with_pool = |upstream: &Arc<Upstream>| (pool.key.clone(), Arc::clone(upstream));
+            pool.upstreams.iter().map(with_pool)
         })
         .collect()
 }
 
-async fn ask(shared: Arc<SharedState>, pool: String, upstream: Arc<Upstream>, asked: Asked) {
-    // Measured no earlier than it was asked for.
+async fn probe(
+    shared: Arc<SharedState>,
+    pool: String,
+    upstream: Arc<Upstream>,
+    in_progress: ProbesInProgress,
+) {
+    // The upstream measures its load after this time, so the report is no older.
     let measured = clock::now();
     let limit = upstream.connection_limit;
-    let report = upstream::probe(&shared.connections, upstream.address, limit, WITHIN).await;
+    let report = upstream::probe(&shared.connections, upstream.address, limit, PROBE_TIMEOUT).await;
     if let Err(error) = &report {
         tracing::debug!(event = "probe_failed", upstream = upstream.name, %error);
     }
     shared
         .pools
         .report(&pool, &upstream.name, measured, report.ok());
-    lock(&asked).remove(&upstream.name);
+    lock(&in_progress).remove(&upstream.name);
 }
 
-fn lock(asked: &Asked) -> std::sync::MutexGuard<'_, HashSet<String>> {
-    asked.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(in_progress: &ProbesInProgress) -> std::sync::MutexGuard<'_, HashSet<String>> {
+    in_progress.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -1,4 +1,4 @@
-//! What operators are told: status, dump, the configuration in force.
+//! Reports for operators: status, dump and the configuration in force.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,6 +10,7 @@
 use super::state::Dump;
 
 impl Control {
+    /// The configuration in force and its revision.
     pub fn in_force(&self) -> InForce {
         let state = self.state.borrow();
         InForce {
@@ -18,11 +19,12 @@
         }
     }
 
+    /// Status of the host.
     pub fn status(&self) -> Status {
         let now = clock::now();
         let state = self.state.borrow();
         let position = state.history.position();
-        let silent_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
+        let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let view = self.shared.view.load();
         let zones = view.plan.document.zones.iter().map(|zone| {
             let reports = view.plan.services.keys().filter_map(|service| {
@@ -31,12 +33,12 @@
                     service: service.clone(),
                     load: report.load,
                 };
-                Some((silent_ms(report.measured), load))
+                Some((age_ms(report.measured), load))
             });
-            let (ages, services): (Vec<u64>, Vec<ServiceLoad>) = reports.unzip();
+            let (ages_ms, services): (Vec<u64>, Vec<ServiceLoad>) = reports.unzip();
             ZoneLoad {
                 zone: zone.name.clone(),
-                age_ms: ages.into_iter().max().unwrap_or(0),
+                age_ms: ages_ms.into_iter().max().unwrap_or(0),
                 services,
             }
         });
@@ -47,7 +49,7 @@
             revision: position.revision,
             digest: position.digest.clone(),
             leaving: view.leaving,
-            store_silent_ms: state.store_answered.map(silent_ms),
+            store_silent_ms: state.store_answered_at.map(age_ms),
             in_flight: self
                 .shared
                 .in_flight
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Status of the pools for which this host decides on admission.
     pub fn pools(&self) -> Vec<PoolStatus> {
         let states = self.shared.pools.states();
         let pool = |state: ::caller::PoolState| PoolStatus {
@@ -78,6 +81,7 @@
         states.into_iter().map(pool).collect()
     }
 
+    /// The whole state of the process as JSON.
     pub fn dump(&self) -> serde_json::Value {
         let now = clock::now();
         let status = self.status();
--- a/src/host/state.rs
+++ b/src/host/state.rs
@@ -1,4 +1,4 @@
-//! The control thread's state and the commands it takes.
+//! State of the control thread, and the commands that it handles.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,38 +18,40 @@
 
 use ::operator::{InForce, Status};
 
-/// What other threads ask of the control thread.
+/// Requests of other threads to the control thread.
 pub enum Command {
-    /// The host's status.
+    /// Return the host's status.
     Status(oneshot::Sender<Status>),
-    /// The host's whole state.
+    /// Return the whole state of the process as JSON.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// The configuration in force.
+    /// Return the configuration in force and its revision.
     Document(oneshot::Sender<InForce>),
-    /// Propose a change.
+    /// Propose a change of the configuration to the platform.
     Propose(Box<Proposal>, oneshot::Sender<Verdict>),
-    /// Say that the host is leaving.
+    /// Announce to other hosts and the platform that this host is leaving.
     Leave,
     /// End the thread.
     End,
 }
 
-/// What is held of another zone, by this host's clock.
+/// Last known state of another zone. All times are by this host's clock.
 #[derive(Default)]
-pub struct HeldSummary {
-    /// Load of its services.
+pub struct KnownZone {
+    /// Load of the zone's services.
     pub loads: Vec<ServiceLoad>,
-    /// When `loads` was measured; none before the first.
+    /// When `loads` was measured; `None` before the first summary.
     pub measured: Option<Instant>,
-    /// Hosts that may be asked; none as long as no summary has named any.
+    /// Hosts of the zone that accept messages; empty until a summary has named some.
     pub hosts: Vec<HostEntry>,
-    /// When `hosts` was true; none before the first.
+    /// When `hosts` was valid; `None` before the first summary with hosts.
     pub hosts_measured: Option<Instant>,
 }
 
-impl HeldSummary {
-    /// Takes what is newer in a summary that came now; whether its loads were.
-    pub fn take(&mut self, summary: &ZoneSummary, now: Instant) -> bool {
+impl KnownZone {
+    /// Merges the newer parts of a summary that arrived at `now`.
+    ///
+    /// Returns whether the loads were newer.
+    pub fn merge(&mut self, summary: &ZoneSummary, now: Instant) -> bool {
         let hosts_measured = now.checked_sub(summary.hosts_age);
         if !summary.hosts.is_empty() && hosts_measured > self.hosts_measured {
             self.hosts.clone_from(&summary.hosts);
@@ -64,9 +66,10 @@
         newer
     }
 
-    /// The zone's summary for another host, with or without its hosts; none where
-    /// nothing was measured yet.
-    pub fn pass_on(&self, zone: &str, now: Instant, with_hosts: bool) -> Option<ZoneSummary> {
+    /// The summary of the zone for another host, with or without its hosts.
+    ///
+    /// Returns `None` before the first measurement.
+    pub fn to_summary(&self, zone: &str, now: Instant, with_hosts: bool) -> Option<ZoneSummary> {
         let hosts_measured = self.hosts_measured.filter(|_| with_hosts);
         Some(ZoneSummary {
             zone: zone.to_owned(),
@@ -79,66 +82,66 @@
     }
 }
 
-/// Load that another host of the zone told in its last heartbeat.
-pub struct HeardLoads {
-    /// When it came.
-    pub heard: Instant,
-    /// Load of the pools that it owns, by service.
+/// Load that another host of the zone reported in its last heartbeat.
+pub struct ReceivedLoads {
+    /// When the heartbeat arrived.
+    pub received: Instant,
+    /// Load of the pools that the other host owns, by service.
     pub loads: Vec<ServiceLoad>,
 }
 
-/// All that the control thread knows.
+/// State of the control thread.
 pub struct State {
-    /// The configuration.
+    /// The configuration in force, with the changes that led to it.
     pub history: History,
-    /// The configuration made ready.
+    /// The configuration, preprocessed for decisions.
     pub plan: Arc<Plan>,
-    /// Revision that `plan` was made from.
-    pub planned: Revision,
-    /// Hosts of the zone.
+    /// Configuration revision that `plan` was made from.
+    pub plan_revision: Revision,
+    /// Hosts of the zone, from their heartbeats.
     pub membership: Membership,
-    /// Load of services in zones.
+    /// Last load reports of all services in all zones.
     pub beliefs: Beliefs,
-    /// Other zones.
-    pub summaries: HashMap<ZoneName, HeldSummary>,
-    /// Load that hosts of the zone told.
-    pub heard_loads: HashMap<HostName, HeardLoads>,
-    /// The platform's list of hosts, as last read.
+    /// Last known state of the other zones.
+    pub known_zones: HashMap<ZoneName, KnownZone>,
+    /// Load that other hosts of the zone reported.
+    pub received_loads: HashMap<HostName, ReceivedLoads>,
+    /// The platform's list of hosts, as read last.
     pub listed: Vec<ListedHost>,
-    /// When each listed start was last in the list.
+    /// When each incarnation was last seen in the platform's list.
     pub last_listed: HashMap<(HostName, Incarnation), Instant>,
-    /// How the zone's limits are split.
+    /// Shares of the zone's limits by host.
     pub roster: Roster,
-    /// This host's own counts.
-    pub own: OwnCounts,
-    /// When the platform last answered.
-    pub store_answered: Option<Instant>,
-    /// Whether the platform's list was read in this start.
-    pub list_answered: bool,
+    /// Requests of this host in flight, by service and zone.
+    pub own_counts: OwnCounts,
+    /// When the platform last answered; `None` before its first answer.
+    pub store_answered_at: Option<Instant>,
+    /// Whether this incarnation has read the platform's list of hosts.
+    pub host_list_read: bool,
 }
 
-/// The control thread's state, for dumps.
+/// State of the process, as printed by `stagedeck dump`.
 #[derive(Serialize)]
 pub struct Dump<'a> {
-    /// The host's status.
+    /// Status of the host, as printed by `stagedeck status`.
     pub status: Status,
     /// Other hosts of the zone.
     pub members: Vec<steering::membership::MemberState>,
-    /// The platform's list.
+    /// The platform's list of hosts, as read last.
     pub listed: &'a [ListedHost],
-    /// How the zone's limits are split.
+    /// Shares of the zone's limits by host.
     pub roster: &'a Roster,
-    /// The zone's limits.
+    /// This host's shares of the zone's limits, and their use.
     pub limits: Vec<steering::limiter::LedgerEntry>,
     /// Pools with all that is known of their upstreams.
     pub pools: Vec<::caller::PoolState>,
-    /// Spent tickets remembered.
+    /// Number of used tickets and keys that are remembered.
     pub spent_tickets: usize,
-    /// Open connections of callers and hosts.
+    /// Open connections from callers and other hosts.
     pub open_connections: u32,
-    /// Bytes of messages sent to other hosts.
+    /// Bytes of all messages sent to other hosts.
     pub peer_sent_bytes: u64,
-    /// Bytes of messages received from other hosts.
+    /// Bytes of all messages received from other hosts.
     pub peer_received_bytes: u64,
     /// Memory of the table of client blocks, in bytes.
     pub block_bytes: usize,
--- a/src/host/views.rs
+++ b/src/host/views.rs
@@ -1,4 +1,5 @@
-//! Views: all that is known, published to the traffic threads; summaries of zones.
+//! Publishes the control thread's state as views for the traffic threads, and makes and
+//! merges the load summaries that hosts exchange.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -12,16 +13,18 @@
 use steering::view::View;
 
 use super::control::{Control, timer};
-use super::state::{HeardLoads, State};
+use super::state::{ReceivedLoads, State};
 
-const PUBLISH_EVERY: Duration = Duration::from_millis(50);
-/// Ticks between two views while no request is in flight.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
+/// Publish intervals between two views while no request is in flight.
 const IDLE_TICKS: u32 = 5;
-const SUMMARY_LAPSE: Duration = Duration::from_secs(60);
+/// Age from which the hosts of another zone's summary are no longer used.
+const SUMMARY_HOSTS_TTL: Duration = Duration::from_secs(60);
 
 impl Control {
-    pub async fn publishes(self: Rc<Self>) {
-        let mut timer = timer(PUBLISH_EVERY);
+    /// Publishes views at regular intervals.
+    pub async fn publish_loop(self: Rc<Self>) {
+        let mut timer = timer(PUBLISH_INTERVAL);
         let mut idle_ticks = 0;
         loop {
             timer.tick().await;
@@ -44,28 +47,30 @@
         }
     }
 
-    /// Makes a view of all that is known and gives it to the traffic threads.
+    /// Makes a view of the current state and publishes it to the traffic threads.
     pub fn publish(&self) {
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
         self.shared.record_control_tick();
-        while let Ok(note) = self.notes.try_recv() {
+        while let Ok(observation) = self.observations.try_recv() {
             let report = Report {
-                load: note.load,
-                measured: note.received,
+                load: observation.load,
+                measured: observation.received,
             };
-            state.beliefs.update(&note.zone, &note.service, report);
+            state
+                .beliefs
+                .update(&observation.zone, &observation.service, report);
         }
-        let replan = state.planned != state.history.revision();
+        let replan = state.plan_revision != state.history.revision();
         if replan {
             state.plan = Arc::new(state.plan.next(Arc::clone(state.history.document())));
-            state.planned = state.history.revision();
-            self.keep_counts(state);
+            state.plan_revision = state.history.revision();
+            self.update_own_counts(state);
             self.local.names.set(state.plan.services.keys());
         }
-        self.believe_own_zone(state, now);
+        self.update_own_zone_load(state, now);
         let view = View {
-            revision: state.planned,
+            revision: state.plan_revision,
             plan: Arc::clone(&state.plan),
             me: self.me.entry.clone(),
             incarnation: self.incarnation,
@@ -75,9 +80,9 @@
                 .load(std::sync::atomic::Ordering::Acquire),
             hosts: self.known_hosts(state, now),
             beliefs: state.beliefs.clone(),
-            own: state.own.clone(),
+            own: state.own_counts.clone(),
         };
-        self.hold_pools(&view, replan);
+        self.update_pools(&view, replan);
         if replan {
             let limits = view.plan.zone_limits(&view.me.zone);
             self.shared.ledger().configure(now, &limits, &state.roster);
@@ -85,27 +90,29 @@
         self.shared.publish(view);
     }
 
-    pub fn keep_counts(&self, state: &mut State) {
-        let mut own = HashMap::new();
+    /// Makes a counter for each service and zone of the plan; existing counters are kept.
+    pub fn update_own_counts(&self, state: &mut State) {
+        let mut own_counts = HashMap::new();
         for (name, service) in &state.plan.services {
             for zone in &service.zones {
                 let key = (name.clone(), zone.zone.clone());
-                let count = state.own.get(&key).cloned().unwrap_or_default();
-                own.insert(key, count);
+                let count = state.own_counts.get(&key).cloned().unwrap_or_default();
+                own_counts.insert(key, count);
             }
         }
-        state.own = own;
+        state.own_counts = own_counts;
     }
 
-    /// Load of the zone's services: this host's pools and what the others told.
-    pub fn believe_own_zone(&self, state: &mut State, now: Instant) {
+    /// Sums up the load of the zone's services, from this host's pools and from the last
+    /// heartbeats of the other hosts.
+    pub fn update_own_zone_load(&self, state: &mut State, now: Instant) {
         let mut sums: BTreeMap<String, PoolLoad> = BTreeMap::new();
-        let heard = state.heard_loads.values().filter(|heard| {
-            now.saturating_duration_since(heard.heard) < steering::belief::STALE_AFTER
+        let fresh = state.received_loads.values().filter(|loads| {
+            now.saturating_duration_since(loads.received) < steering::belief::STALE_AFTER
         });
-        let heard = heard.flat_map(|heard| heard.loads.clone());
-        for load in heard.chain(self.own_loads()) {
-            add(sums.entry(load.service).or_default(), &load.load);
+        let others = fresh.flat_map(|received| received.loads.clone());
+        for load in others.chain(self.own_loads()) {
+            add_load(sums.entry(load.service).or_default(), &load.load);
         }
         for (service, load) in sums {
             let report = Report {
@@ -116,18 +123,20 @@
         }
     }
 
-    /// Load of the pools that this host admits to, by service.
+    /// Load of the pools for which this host decides on admission, by service.
     pub fn own_loads(&self) -> Vec<ServiceLoad> {
         let mut sums: BTreeMap<String, PoolLoad> = BTreeMap::new();
         for pool in self.shared.pools.states() {
             let service = pool.pool.split('/').next().unwrap_or("").to_owned();
-            add(sums.entry(service).or_default(), &pool.load);
+            add_load(sums.entry(service).or_default(), &pool.load);
         }
         sums.into_iter()
             .map(|(service, load)| ServiceLoad { service, load })
             .collect()
     }
 
+    /// Hosts by zone: those of the own zone by their heartbeats, those of other zones from
+    /// summaries, or from the platform's list where there is no recent summary.
     pub fn known_hosts(&self, state: &State, now: Instant) -> BTreeMap<String, Vec<HostEntry>> {
         let mut hosts: BTreeMap<String, Vec<HostEntry>> = BTreeMap::new();
         for host in state.listed.iter().filter(|host| !host.leaving) {
@@ -136,20 +145,20 @@
                 .or_default()
                 .push(host.entry.clone());
         }
-        for (zone, held) in &state.summaries {
-            let age = held
+        for (zone, known) in &state.known_zones {
+            let age = known
                 .hosts_measured
                 .map(|at| now.saturating_duration_since(at));
-            if age.is_some_and(|age| age < SUMMARY_LAPSE) {
-                hosts.insert(zone.clone(), held.hosts.clone());
+            if age.is_some_and(|age| age < SUMMARY_HOSTS_TTL) {
+                hosts.insert(zone.clone(), known.hosts.clone());
             }
         }
         hosts.insert(self.me.entry.zone.clone(), state.membership.staying(now));
         hosts
     }
 
-    /// Takes the pools that this host owns now, and lets go of the others.
-    pub fn hold_pools(&self, view: &View, replan: bool) {
+    /// Takes over the pools that this host owns now, and releases the others.
+    pub fn update_pools(&self, view: &View, replan: bool) {
         let owned = view.owned_pools();
         self.shared.pools.retain(&owned);
         for service in view.plan.services.values() {
@@ -199,18 +208,18 @@
         }
     }
 
-    /// Takes what is newer in another zone's summary than what is held.
-    pub fn take_summary(&self, summary: ZoneSummary) {
+    /// Merges the newer parts of another zone's summary into the known state.
+    pub fn merge_summary(&self, summary: ZoneSummary) {
         if summary.zone == self.me.entry.zone {
             return;
         }
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
-        let held = state.summaries.entry(summary.zone.clone()).or_default();
-        if !held.take(&summary, now) {
+        let known = state.known_zones.entry(summary.zone.clone()).or_default();
+        if !known.merge(&summary, now) {
             return;
         }
-        let Some(measured) = held.measured else {
+        let Some(measured) = known.measured else {
             return;
         };
         for load in summary.loads {
@@ -222,23 +231,24 @@
         }
     }
 
-    /// Takes the load that a host of the zone told.
-    pub fn take_loads(&self, host: &HostName, loads: Vec<ServiceLoad>) {
-        let heard = HeardLoads {
-            heard: clock::now(),
+    /// Records the load that another host of the zone reported.
+    pub fn record_loads(&self, host: &HostName, loads: Vec<ServiceLoad>) {
+        let received = ReceivedLoads {
+            received: clock::now(),
             loads,
         };
         self.state
             .borrow_mut()
-            .heard_loads
-            .insert(host.clone(), heard);
+            .received_loads
+            .insert(host.clone(), received);
     }
 }
 
-fn add(sum: &mut PoolLoad, load: &PoolLoad) {
-    let (before, more) = (f64::from(sum.capacity), f64::from(load.capacity));
-    let weighed = sum.latency_ms * before + load.latency_ms * more;
-    sum.latency_ms = weighed / (before + more).max(1.0);
+/// Adds a load to a sum; the latency is the mean weighted by capacity.
+fn add_load(sum: &mut PoolLoad, load: &PoolLoad) {
+    let (before, added) = (f64::from(sum.capacity), f64::from(load.capacity));
+    let weighted = sum.latency_ms * before + load.latency_ms * added;
+    sum.latency_ms = weighted / (before + added).max(1.0);
     sum.in_flight += load.in_flight;
     sum.capacity += load.capacity;
     sum.queued += load.queued;
