--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of a request, from the logs of hosts.
+//! The command `explain`, which prints the trace of a request from the logs of hosts.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
     let mut lines: Vec<Line> = Vec::new();
     for path in logs {
         match std::fs::read(path) {
-            // A process that was killed may have left half a line.
+            // A process that was killed may have left an incomplete line.
             Ok(bytes) => {
                 let text = String::from_utf8_lossy(&bytes);
                 lines.extend(text.lines().filter_map(parse_line));
@@ -20,16 +20,16 @@
             }
         }
     }
-    let story = explain(id, &lines);
-    if story.request.is_empty() {
+    let trace = explain(id, &lines);
+    if trace.request.is_empty() {
         let count = lines.len();
-        let reason = format!("none of {count} lines tells of the request `{id}`");
+        let reason = format!("none of {count} lines is about the request `{id}`");
         return Outcome::failed(BAD_INPUT, reason);
     }
     match output {
-        Output::Text => Outcome::done(story.text()),
+        Output::Text => Outcome::done(trace.to_text()),
         Output::Json => {
-            Outcome::done(serde_json::to_string_pretty(&story).expect("stories are valid JSON"))
+            Outcome::done(serde_json::to_string_pretty(&trace).expect("traces are valid JSON"))
         }
     }
 }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,9 +1,9 @@
-//! `serve`: runs a host until a signal.
+//! The command `serve` with a settings file: runs a host until a signal stops it.
 
 use std::path::Path;
 
 use super::outcome::{BAD_INPUT, Outcome, UNAVAILABLE};
-use super::signals::wait_to_stop;
+use super::signals::wait_for_stop;
 use crate::config::Config;
 use crate::host::{Host, Sockets};
 use crate::logging;
@@ -20,19 +20,19 @@
         Ok(host) => host,
         Err(error) => return Outcome::failed(UNAVAILABLE, error),
     };
-    if let Err(error) = wait_to_stop(|_| {}) {
+    if let Err(error) = wait_for_stop(|_| {}) {
         return Outcome::failed(UNAVAILABLE, error);
     }
     host.stop();
     Outcome::done("")
 }
 
-/// Connections that a host opens besides those of callers and hosts.
-const OWN_CONNECTIONS: u64 = 1_024;
+/// Files reserved for connections that a host opens itself, to upstreams and other hosts.
+const OUTGOING_CONNECTIONS: u64 = 1_024;
 
-/// Lets the process open as many files as it may, and says where that is too few.
+/// Raises the limit on open files as far as possible; warns if it is still too low.
 fn raise_open_files(config: &Config) {
-    let wanted = u64::from(config.limits.connections) + OWN_CONNECTIONS;
+    let wanted = u64::from(config.limits.connections) + OUTGOING_CONNECTIONS;
     match rlimit::increase_nofile_limit(u64::MAX) {
         Ok(open_files) if open_files < wanted => {
             tracing::warn!(event = "few_open_files", open_files, wanted);
--- a/src/commands/signals.rs
+++ b/src/commands/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that a host heeds.
+//! Signals that stop a host or make it reload its settings.
 
 use std::time::Duration;
 
@@ -6,21 +6,23 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
 
-/// Time between two looks whether the settings have changed without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Time between two checks whether the settings have changed without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why settings are looked at.
+/// Why the settings are read again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Look {
-    /// A signal says that they have changed.
+pub enum ReloadTrigger {
+    /// SIGHUP was received.
     Signal,
-    /// They may have changed without one.
+    /// The settings are checked at regular intervals, since they may change without a signal.
     Time,
 }
 
-/// Waits for the first signal to stop; a second one ends the process at once.
-/// `look` is called at each SIGHUP before that, and now and then.
-pub fn wait_to_stop(mut look: impl FnMut(Look)) -> std::io::Result<()> {
+/// Waits for SIGTERM or SIGINT.
+///
+/// Until then, calls `reload` at each SIGHUP and at regular intervals. A SIGINT during the stop
+/// ends the process at once.
+pub fn wait_for_stop(mut reload: impl FnMut(ReloadTrigger)) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
@@ -30,8 +32,8 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = hang_up.recv() => look(Look::Signal),
-                () = sleep(LOOK_EVERY) => look(Look::Time),
+                _ = hang_up.recv() => reload(ReloadTrigger::Signal),
+                () = sleep(CHECK_INTERVAL) => reload(ReloadTrigger::Time),
             }
         }
         Ok::<(), std::io::Error>(())
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,13 +1,13 @@
-//! The story of a request, from the logs of hosts.
+//! Collects the trace of a request from the logs of several hosts.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// Fields of a log line, in no order.
+/// Fields of a log line by key.
 pub type Fields = BTreeMap<String, String>;
 
-/// Events that change what a host believes of an upstream.
+/// Events that change a host's known state of one upstream.
 const UPSTREAM_EVENTS: &[&str] = &[
     "upstream_reported",
     "upstream_gone",
@@ -15,8 +15,8 @@
     "upstream_rests",
     "upstream_rest_over",
 ];
-/// Events that change what a host believes of everything.
-const BELIEF_EVENTS: &[&str] = &[
+/// Events that change a host's known state as a whole.
+const STATE_EVENTS: &[&str] = &[
     "document_taken",
     "evacuations",
     "store_lost",
@@ -28,33 +28,34 @@
     "start",
 ];
 
-/// One line of the story.
+/// One log line of a trace.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Line {
-    /// Time of day at its host, in milliseconds since 1970.
+    /// Time by the clock of the host, in milliseconds since 1970.
     pub time_ms: u64,
-    /// The host.
+    /// Name of the host; empty if the line names none.
     pub host: String,
-    /// What happened.
+    /// Name of the event, such as `request_failed`.
     pub event: String,
-    /// All else that the line says.
+    /// The other fields of the line.
     pub fields: Fields,
 }
 
-/// A request's story.
+/// The log lines that explain what happened to a request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Story {
-    /// What touched the request, in order.
+pub struct RequestTrace {
+    /// Lines about the request, by time.
     pub request: Vec<Line>,
-    /// What its hosts believed then: the last line of each kind before it ended.
-    pub beliefs: Vec<Line>,
-    /// Lines that the request's hosts have dropped, around the request or not.
+    /// Known state of the request's hosts: the last line of each kind before the request ended.
+    #[serde(rename = "beliefs")]
+    pub known_state: Vec<Line>,
+    /// Number of lines that the request's hosts have dropped at any time.
     pub lines_dropped: u64,
 }
 
-/// Reads a line of a log; none where it is not one.
+/// Parses a line of a log; `None` if it is not a log line of a host.
 pub fn parse_line(text: &str) -> Option<Line> {
-    // A collector may have put something before it.
+    // A log collector may have added a prefix.
     let mut rest = &text[text.find("time_ms=")?..];
     let mut fields = Fields::new();
     while let Some((name, after)) = rest.split_once('=') {
@@ -76,7 +77,7 @@
     })
 }
 
-/// A quoted value and what follows it.
+/// The value of a quoted text without its first quote, and the text after it.
 fn unquote(quoted: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = quoted.char_indices();
@@ -93,19 +94,19 @@
     None
 }
 
-/// Finds a request's story in the lines of several hosts.
-pub fn explain(id: &str, lines: &[Line]) -> Story {
+/// Collects the trace of a request from the lines of several hosts.
+pub fn explain(id: &str, lines: &[Line]) -> RequestTrace {
     let is_of = |line: &&Line| line.fields.get("id").is_some_and(|other| other == id);
     let mut request: Vec<Line> = lines.iter().filter(is_of).cloned().collect();
     request.sort_by_key(|line| line.time_ms);
     let Some(end_ms) = request.last().map(|line| line.time_ms) else {
-        return Story::default();
+        return RequestTrace::default();
     };
     let upstreams: Vec<&String> = request
         .iter()
         .filter_map(|line| line.fields.get("upstream"))
         .collect();
-    let mut beliefs: BTreeMap<(String, String, String), &Line> = BTreeMap::new();
+    let mut known_state: BTreeMap<(String, String, String), &Line> = BTreeMap::new();
     let mut lines_dropped = 0;
     let hosts: Vec<&str> = request.iter().map(|line| line.host.as_str()).collect();
     for line in lines
@@ -121,38 +122,38 @@
         }
         let event = line.event.as_str();
         let upstream = line.fields.get("upstream").cloned().unwrap_or_default();
-        let told = BELIEF_EVENTS.contains(&event)
+        let is_relevant = STATE_EVENTS.contains(&event)
             || (UPSTREAM_EVENTS.contains(&event) && upstreams.contains(&&upstream));
-        if !told || line.time_ms > end_ms {
+        if !is_relevant || line.time_ms > end_ms {
             continue;
         }
         let feed = line.fields.get("feed").cloned().unwrap_or(upstream);
         let kind = (line.host.clone(), line.event.clone(), feed);
-        let known = beliefs.entry(kind).or_insert(line);
-        if line.time_ms >= known.time_ms {
-            *known = line;
+        let latest = known_state.entry(kind).or_insert(line);
+        if line.time_ms >= latest.time_ms {
+            *latest = line;
         }
     }
-    let mut beliefs: Vec<Line> = beliefs.into_values().cloned().collect();
-    beliefs.sort_by_key(|line| line.time_ms);
-    Story {
+    let mut known_state: Vec<Line> = known_state.into_values().cloned().collect();
+    known_state.sort_by_key(|line| line.time_ms);
+    RequestTrace {
         request,
-        beliefs,
+        known_state,
         lines_dropped,
     }
 }
 
-impl Story {
-    /// The story for people. Times are relative to the request's first line.
-    pub fn text(&self) -> String {
+impl RequestTrace {
+    /// The trace as text for people. Times are relative to the first line of the request.
+    pub fn to_text(&self) -> String {
         let first_ms = self.request.first().map_or(0, |line| line.time_ms);
-        let mut text = String::from("what its hosts believed:\n");
-        for line in &self.beliefs {
-            text += &shown(line, first_ms);
+        let mut text = String::from("state known to its hosts:\n");
+        for line in &self.known_state {
+            text += &format_line(line, first_ms);
         }
-        text += "what happened to it:\n";
+        text += "events of the request:\n";
         for line in &self.request {
-            text += &shown(line, first_ms);
+            text += &format_line(line, first_ms);
         }
         if self.lines_dropped > 0 {
             let lines = self.lines_dropped;
@@ -162,7 +163,7 @@
     }
 }
 
-fn shown(line: &Line, first_ms: u64) -> String {
+fn format_line(line: &Line, first_ms: u64) -> String {
     let after_ms = line.time_ms as i64 - first_ms as i64;
     let fields = line.fields.iter().filter(|(name, _)| *name != "level");
     let fields: Vec<String> = fields
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! One line of key=value pairs for each event.
+//! Log output: one line of `key=value` pairs for each event.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -21,19 +21,19 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, registry};
 
-/// What is logged where the filter can't be read.
-const FILTER_DEFAULT: &str = "info";
-/// Lines that wait for a slow reader of standard output; more are dropped and counted.
-const LINES_WAITING: usize = 4_096;
-/// Lines of one kind in a second, by level. Failures have kinds of their own, so that a
-/// storm of ordinary lines takes nothing from them.
-const LINES_PER_S: u32 = 200;
-/// Lines of one kind of warning or error in a second.
-const WARNINGS_PER_S: u32 = 300;
-/// Time between two looks for dropped lines.
-const COUNT_DROPPED_EVERY: Duration = Duration::from_secs(5);
-
-/// Starts logging to standard error; a second start in the same process changes nothing.
+/// Filter that replaces one that can't be parsed.
+const DEFAULT_FILTER: &str = "info";
+/// Lines buffered for a slow reader of standard output; further ones are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 4_096;
+/// Most lines per second from one place in the code, below level `warn`. Each place has its own
+/// limit, so that a burst of ordinary lines does not suppress those of failures.
+const MAX_LINES_PER_S: u32 = 200;
+/// Most warnings and errors per second from one place in the code.
+const MAX_WARNINGS_PER_S: u32 = 300;
+/// Time between two reports of dropped lines.
+const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Starts logging to standard error; a second call in the same process has no effect.
 pub fn start(filter: &str) {
     let filter = filter_or_default(filter);
     let started = fmt()
@@ -46,14 +46,15 @@
     drop(started);
 }
 
-/// Starts logging to standard output, by a thread of its own: a reader that stops
-/// delays nothing. Each line names the host. Lines are written until the returned guard
-/// is dropped.
-pub fn start_unblocked(filter: &str, host: &str) -> WorkerGuard {
+/// Starts logging to standard output from a separate thread, so that a reader that stops
+/// reading delays no request.
+///
+/// Each line names the host. Logging ends when the returned guard is dropped.
+pub fn start_nonblocking(filter: &str, host: &str) -> WorkerGuard {
     let filter = filter_or_default(filter);
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_WAITING)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let unwritten = writer.error_counter();
     let rate = Arc::new(RateLimit::<Identifier>::default());
@@ -63,14 +64,14 @@
             host: Some(host.to_owned()),
         })
         .fmt_fields(debug_fn(write_pair).delimited(" "))
-        .with_filter(Limited(Arc::clone(&rate)));
+        .with_filter(RateLimitFilter(Arc::clone(&rate)));
     // Only tests start several hosts in one process; the first filter holds.
     drop(registry().with(filter).with(lines).try_init());
-    let counting = thread::Builder::new().name("log".to_owned());
-    let counting = counting.spawn(move || {
+    let reporter = thread::Builder::new().name("log".to_owned());
+    let reporter = reporter.spawn(move || {
         let mut before = 0;
         loop {
-            thread::sleep(COUNT_DROPPED_EVERY);
+            thread::sleep(DROPPED_REPORT_INTERVAL);
             let dropped = rate.dropped() + unwritten.dropped_lines() as u64;
             if dropped > before {
                 let lines = dropped - before;
@@ -80,19 +81,20 @@
             }
         }
     });
-    if let Err(error) = counting {
+    if let Err(error) = reporter {
         tracing::warn!(event = "lines_dropped_uncounted", %error);
     }
     guard
 }
 
-/// A filter that can't be read is no reason not to start.
+/// Parses a filter; an invalid one must not keep the host from starting.
 fn filter_or_default(filter: &str) -> EnvFilter {
-    EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new(FILTER_DEFAULT))
+    EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER))
 }
 
-/// Bounds how many lines of each kind are written in a second. A kind is a place in the
-/// code: each event has one.
+/// Limits the lines of each kind that are written per second.
+///
+/// In the log, a kind is the place in the code that logs the event.
 pub struct RateLimit<Kind> {
     kinds: Mutex<HashMap<Kind, Window>>,
     dropped: AtomicU64,
@@ -108,21 +110,21 @@
 }
 
 struct Window {
-    begun: Instant,
+    started: Instant,
     lines: u32,
 }
 
 impl<Kind: Eq + Hash> RateLimit<Kind> {
-    /// Whether a line of this kind may be written now; counts it either way.
+    /// Counts a line of this kind, and returns whether it may be written.
     pub fn admit(&self, now: Instant, kind: Kind, per_s: u32) -> bool {
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         let window = kinds.entry(kind).or_insert(Window {
-            begun: now,
+            started: now,
             lines: 0,
         });
-        if now.saturating_duration_since(window.begun) >= Duration::from_secs(1) {
+        if now.saturating_duration_since(window.started) >= Duration::from_secs(1) {
             *window = Window {
-                begun: now,
+                started: now,
                 lines: 0,
             };
         }
@@ -134,15 +136,15 @@
         admitted
     }
 
-    /// Lines that were not written so far.
+    /// Number of lines that were refused so far.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-struct Limited(Arc<RateLimit<Identifier>>);
+struct RateLimitFilter(Arc<RateLimit<Identifier>>);
 
-impl<S: Subscriber> Filter<S> for Limited {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -150,14 +152,15 @@
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
         let metadata = event.metadata();
         let per_s = match *metadata.level() <= Level::WARN {
-            true => WARNINGS_PER_S,
-            false => LINES_PER_S,
+            true => MAX_WARNINGS_PER_S,
+            false => MAX_LINES_PER_S,
         };
         self.0.admit(clock::now(), metadata.callsite(), per_s)
     }
 }
 
-/// A line that begins with the time, in milliseconds since 1970, and the level.
+/// Formats an event as a line that begins with the time, in milliseconds since 1970, and the
+/// level.
 struct KeyValueLine {
     host: Option<String>,
 }
@@ -185,7 +188,7 @@
     }
 }
 
-/// Quotes what would not read as one value.
+/// Writes a pair; a value that is empty or contains spaces, quotes or `=` is quoted.
 fn write_pair(writer: &mut Writer<'_>, field: &Field, value: &dyn fmt::Debug) -> fmt::Result {
     let text = format!("{value:?}");
     let inner = text
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request from logs, and the bound on their volume.
+//! The trace of a request from logs, and the rate limit of log lines.
 
 use std::time::{Duration, Instant};
 
@@ -30,24 +30,24 @@
 }
 
 #[test]
-fn a_failed_request_is_told_with_what_was_believed() {
-    let story = explain("r1", &lines());
-    assert_eq!(events(&story.request), ["send_missed", "request_failed"]);
-    assert_eq!(story.request[0].fields["reason"], r#"a "bad" answer"#);
-    // Only its own host's beliefs, the last of each kind, none from after its end.
+fn a_failed_request_is_explained_with_the_known_state_of_its_hosts() {
+    let trace = explain("r1", &lines());
+    assert_eq!(events(&trace.request), ["send_missed", "request_failed"]);
+    assert_eq!(trace.request[0].fields["reason"], r#"a "bad" answer"#);
+    // Only the state of the request's own host: the last line of each kind before its end.
     assert_eq!(
-        events(&story.beliefs),
+        events(&trace.known_state),
         ["start", "document_taken", "upstream_reported"]
     );
-    assert_eq!(story.beliefs[1].fields["version"], "7");
-    assert_eq!(story.lines_dropped, 12);
-    let text = story.text();
+    assert_eq!(trace.known_state[1].fields["version"], "7");
+    assert_eq!(trace.lines_dropped, 12);
+    let text = trace.to_text();
     assert!(text.contains("12 lines were dropped"), "{text}");
     assert!(text.contains("-700 ms  h1  upstream_reported"), "{text}");
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn an_unknown_request_has_no_trace() {
     assert!(explain("r3", &lines()).request.is_empty());
 }
 
@@ -58,12 +58,12 @@
 #[case::time_is_no_number("time_ms=x event=start", None)]
 #[case::open_quote("time_ms=7 event=start reason=\"half", None)]
 #[case::empty("", None)]
-fn lines_are_read_or_left_out(#[case] text: &str, #[case] event: Option<&str>) {
+fn malformed_lines_are_skipped(#[case] text: &str, #[case] event: Option<&str>) {
     assert_eq!(parse_line(text).map(|line| line.event).as_deref(), event);
 }
 
 #[test]
-fn a_storm_of_one_kind_takes_nothing_from_another() {
+fn each_kind_of_line_has_its_own_rate_limit() {
     let limit = RateLimit::default();
     let now = Instant::now();
     let at = |ms| now + Duration::from_millis(ms);
