--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Arguments of the command line.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -14,19 +14,19 @@
   4  outcome unknown: run the same command again with the printed --change-id
   5  unavailable: nothing was changed; try again later";
 
-/// Steers callers to upstreams that can answer, across regions and zones.
+/// Routes callers' requests to upstreams that can serve them, across regions and zones.
 #[derive(Debug, Parser)]
 #[command(name = "stagedeck", version, after_help = EXIT_CODES)]
 pub struct Cli {
-    /// How results are printed.
+    /// Format of the results.
     #[arg(long, global = true, value_enum, default_value_t = Output::Text)]
     pub output: Output,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// How results are printed.
+/// Format of the results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Output {
     /// For people.
@@ -35,108 +35,108 @@
     Json,
 }
 
-/// What to do.
+/// Commands of `stagedeck`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run a host until SIGTERM or SIGINT, then stop it without cutting a request.
+    /// Run a host until SIGTERM or SIGINT, then stop it without interrupting a request.
     Serve {
-        /// The host's settings, a JSON file. Without it the host serves the routes of
-        /// the platform whose settings file the environment names.
+        /// Settings of the host, a JSON file. Without it, the host runs on the platform and
+        /// reads the platform's settings file, which an environment variable names.
         #[arg(long)]
         settings: Option<PathBuf>,
-        /// Port at which a host on the platform tells its metrics, beside its own
-        /// address for callers.
+        /// Port on which a host on the platform serves its metrics, at the IP address where it
+        /// serves callers.
         #[arg(long, conflicts_with = "settings")]
         metrics_port: Option<u16>,
     },
-    /// Tell the story of a request from the logs of hosts.
+    /// Explain from the logs of hosts what happened to a request.
     Explain {
-        /// Identity of the request.
+        /// Identity of the request, as in the log field `id`.
         id: String,
-        /// Log files.
+        /// Log files of the hosts.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Check a settings file or a configuration file, and list all problems.
+    /// Check a settings file or a configuration file, and list all its problems.
     Check {
-        /// The file.
+        /// File to check.
         file: PathBuf,
     },
-    /// Put a whole configuration file in force.
+    /// Replace the configuration in force by that in a file.
     Apply {
-        /// The configuration, a JSON file.
+        /// Configuration, a JSON file.
         file: PathBuf,
         /// How to make the change.
         #[command(flatten)]
         change: ChangeArgs,
     },
-    /// Set labels of an object: `label upstream/surcos-1 tier=gold old-`.
+    /// Set or remove labels of an object: `label upstream/surcos-1 tier=gold old-`.
     Label {
-        /// The object, as KIND/NAME; kinds: region, zone, service, upstream, rule, block.
+        /// Object, as KIND/NAME; kinds: region, zone, service, upstream, rule, block.
         object: String,
-        /// Labels to set, as KEY=VALUE; KEY- takes a label away.
+        /// Labels to set, as KEY=VALUE; KEY- removes a label.
         #[arg(required = true)]
         labels: Vec<String>,
         /// How to make the change.
         #[command(flatten)]
         change: ChangeArgs,
     },
-    /// Give an upstream, or a whole zone, no new work; what runs is finished.
+    /// Send no new requests to an upstream or a whole zone; those in flight are completed.
     Drain {
-        /// An upstream's name, or zone/NAME.
+        /// Name of an upstream, or zone/NAME.
         name: String,
-        /// Wait until nothing is in flight, and show what still is.
+        /// Wait until no request is in flight, and print their number meanwhile.
         #[arg(long)]
         wait: bool,
-        /// Longest wait, in seconds.
+        /// Longest time to wait, in seconds.
         #[arg(long, default_value_t = 3_600, requires = "wait")]
         wait_limit_s: u64,
-        /// Drain a zone even where the rest has no room for its work.
+        /// Drain a zone even if the other zones lack the capacity for its requests.
         #[arg(long)]
         force: bool,
         /// How to make the change.
         #[command(flatten)]
         change: ChangeArgs,
     },
-    /// Take an upstream out of use for good; drain it first.
+    /// Take an upstream out of use permanently; drain it first.
     Retire {
-        /// The upstream's name.
+        /// Name of the upstream.
         name: String,
         /// How to make the change.
         #[command(flatten)]
         change: ChangeArgs,
     },
-    /// Show a host's view: revision, hosts, zones and pools.
+    /// Show the state known to a host: revision, hosts, zones and pools.
     Status {
         /// Which host to ask.
         #[command(flatten)]
         host: HostArgs,
     },
-    /// Ask a host, as a caller would, which hosts to use.
+    /// Ask a host, as a caller does, which hosts to use.
     Lookup {
-        /// A host's address for callers, IP:PORT.
+        /// Address of a host for callers, IP:PORT.
         #[arg(long)]
         at: SocketAddr,
-        /// The service.
+        /// Name of the service.
         #[arg(long)]
         service: String,
-        /// Caller's address to look up; yours by default.
+        /// Caller's IP address to look up; by default that of the connection.
         #[arg(long)]
         address: Option<IpAddr>,
-        /// Tickets to ask for.
+        /// Number of tickets to ask for.
         #[arg(long, default_value_t = 0)]
         tickets: usize,
     },
-    /// List the work that hosts on the platform refuse because upstreams end under it, or change
-    /// that. Changes are taken from the host itself only, and told to all hosts.
+    /// List or change the work that hosts on the platform refuse because it crashes upstreams.
+    /// A host accepts changes from its own machine only, and forwards them to all hosts.
     Works {
-        /// A host's address for metrics, IP:PORT.
+        /// Address of a host for metrics, IP:PORT.
         #[arg(long)]
         at: SocketAddr,
-        /// Refuse this work, as the log names it.
+        /// Refuse this work; WORK is the value of the log field `work`.
         #[arg(long, value_name = "WORK", conflicts_with = "clear")]
         refuse: Option<String>,
-        /// Serve this work again.
+        /// Serve this work again, and remove its record.
         #[arg(long, value_name = "WORK")]
         clear: Option<String>,
     },
@@ -146,15 +146,15 @@
         #[command(flatten)]
         host: HostArgs,
     },
-    /// Print the configuration in force, fit for `apply`.
+    /// Print the configuration in force, as a file for `apply`.
     Show {
         /// Which host to ask.
         #[command(flatten)]
         host: HostArgs,
     },
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Shell to print it for.
         shell: Shell,
     },
 }
@@ -162,10 +162,10 @@
 /// Which host to ask.
 #[derive(Debug, Clone, Copy, Args)]
 pub struct HostArgs {
-    /// A host's address for operators, IP:PORT.
+    /// Address of a host for operators, IP:PORT.
     #[arg(long, env = "STAGEDECK_HOST")]
     pub host: SocketAddr,
-    /// Longest wait for the host, in seconds.
+    /// Longest time to wait for the host's answer, in seconds.
     #[arg(long, default_value_t = 30)]
     pub timeout_s: u64,
 }
@@ -176,7 +176,8 @@
     /// Which host to ask.
     #[command(flatten)]
     pub host: HostArgs,
-    /// Identity of the change; give the printed one to find out how an earlier try ended.
+    /// Identity of the change; the one that an earlier run printed makes this a repetition of it,
+    /// which reports the outcome.
     #[arg(long)]
     pub change_id: Option<String>,
 }
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! `apply`, `label` and `retire`: changes of the configuration.
+//! The commands `apply`, `label` and `retire`, which change the configuration.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -67,7 +67,9 @@
     })
 }
 
-/// Proposes a change against what is in force on the host.
+/// Proposes a change to the configuration that is in force on the host.
+///
+/// `make` builds the change from this configuration and the identity of the change.
 pub fn propose(
     args: &ChangeArgs,
     output: Output,
@@ -110,7 +112,10 @@
         .ok_or_else(|| format!("`{text}` must be KIND/NAME, such as upstream/surcos-1"))?;
     let kind = Kind::find(kind).ok_or_else(|| {
         let kinds: Vec<String> = Kind::ALL.iter().map(ToString::to_string).collect();
-        format!("`{kind}` is no kind; kinds are {}", kinds.join(", "))
+        format!(
+            "`{kind}` is not a kind of object; kinds are {}",
+            kinds.join(", ")
+        )
     })?;
     Ok(ObjectId {
         kind,
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: all problems of a settings file or a configuration file.
+//! The command `check`, which lists all problems of a settings or configuration file.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use crate::cli::Output;
 use crate::config::Config;
 
-/// Field that every settings file has and no configuration has.
+/// Field that distinguishes a settings file, which must have it, from a configuration file.
 const SETTINGS_FIELD: &str = "host";
 
 pub fn run(file: &Path, output: Output) -> Outcome {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads and checks a configuration.
+/// Parses and validates a configuration.
 pub fn parse(text: &str) -> Result<Document, String> {
     let document: Document = serde_json::from_str(text).map_err(|error| error.to_string())?;
     document.check().map_err(|problems| problems.to_string())?;
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -1,4 +1,5 @@
-//! `drain`: no new work for an upstream or a zone, and the wait until it is quiet.
+//! The command `drain`, which stops new requests to an upstream or a zone, and can wait until
+//! none is in flight.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,13 +14,14 @@
 use super::outcome::{BAD_INPUT, DONE, Outcome, UNAVAILABLE};
 use crate::cli::{ChangeArgs, Output};
 
-const ASK_EVERY: Duration = Duration::from_millis(200);
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which a change is in force everywhere; before that, quiet means nothing.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time until a change is in force on all hosts. Before that, hosts may still send new requests,
+/// so a count of zero does not mean that the drain is complete.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// What is drained.
-struct Drained {
+/// The upstream or zone to drain.
+struct DrainTarget {
     kind: Kind,
     name: String,
 }
@@ -32,39 +34,43 @@
     output: Output,
     progress: &mut dyn FnMut(&str),
 ) -> Outcome {
-    let drained = match name.split_once('/') {
-        Some(("zone", name)) => Drained {
+    let target = match name.split_once('/') {
+        Some(("zone", name)) => DrainTarget {
             kind: Kind::Zone,
             name: name.to_owned(),
         },
-        Some(("upstream", name)) => Drained {
+        Some(("upstream", name)) => DrainTarget {
             kind: Kind::Upstream,
             name: name.to_owned(),
         },
         Some((kind, _)) => {
-            let reason = format!("`{kind}` can't be drained; upstreams and zones can");
+            let reason = format!("`{kind}` can't be target, only upstreams and zones");
             return Outcome::failed(BAD_INPUT, reason);
         }
-        None => Drained {
+        None => DrainTarget {
             kind: Kind::Upstream,
             name: name.to_owned(),
         },
     };
-    if drained.kind == Kind::Zone
+    if target.kind == Kind::Zone
         && !force
-        && let Err(refused) = check_room(&drained.name, args)
+        && let Err(refused) = check_capacity(&target.name, args)
     {
         return refused;
     }
-    let outcome = set_state(drained.kind, &drained.name, DRAINING.1, args, output);
+    let outcome = set_state(target.kind, &target.name, DRAINING.1, args, output);
     match wait {
-        Some(limit) if outcome.code == DONE => wait_quiet(&drained, limit, args, progress),
+        Some(limit) if outcome.code == DONE => wait_until_idle(&target, limit, args, progress),
         _ => outcome,
     }
 }
 
-/// Whether the rest has room for what the zone has in flight now.
-fn check_room(zone: &str, args: &ChangeArgs) -> Result<(), Outcome> {
+/// Checks that the other zones have capacity for the requests that the zone has in flight now.
+///
+/// # Errors
+///
+/// The failed outcome of the command.
+fn check_capacity(zone: &str, args: &ChangeArgs) -> Result<(), Outcome> {
     let client = client(&args.host);
     let unreachable = |error| Outcome::unreachable(&error);
     let document = client.document().map_err(unreachable)?.document;
@@ -73,21 +79,25 @@
     if short.is_empty() {
         return Ok(());
     }
-    let reason = format!("{}\nuse --force to drain it all the same", short.join("\n"));
+    let reason = format!("{}\nuse --force to drain the zone anyway", short.join("\n"));
     Err(Outcome::failed(BAD_INPUT, reason))
 }
 
-/// Services whose work in the zone would not fit into the free slots elsewhere.
+/// One message for each service whose requests in the zone exceed the free slots elsewhere.
 fn shortages(document: &Document, status: &Status, zone: &str) -> Vec<String> {
     let mut in_flight: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-    for place in &status.zones {
-        for service in &place.services {
+    for load_in_zone in &status.zones {
+        for service in &load_in_zone.services {
             let (here, elsewhere) = in_flight.entry(&service.service).or_default();
             let load = service.load.in_flight + service.load.queued;
-            *(if place.zone == zone { here } else { elsewhere }) += load;
+            *(if load_in_zone.zone == zone {
+                here
+            } else {
+                elsewhere
+            }) += load;
         }
     }
-    let open_zone = |name: &str| {
+    let is_open_zone = |name: &str| {
         let zone = document.zone(name);
         zone.is_some_and(|zone| takes_new_work(&zone.labels))
     };
@@ -97,7 +107,7 @@
             .upstreams
             .iter()
             .filter(|upstream| upstream.service == service && upstream.zone != zone)
-            .filter(|upstream| takes_new_work(&upstream.labels) && open_zone(&upstream.zone))
+            .filter(|upstream| takes_new_work(&upstream.labels) && is_open_zone(&upstream.zone))
             .map(|upstream| upstream.slots)
             .sum();
         if here > 0 && here + elsewhere > slots {
@@ -111,8 +121,9 @@
     short
 }
 
-fn wait_quiet(
-    drained: &Drained,
+/// Waits until no request is in flight on the target, at most for `limit`.
+fn wait_until_idle(
+    target: &DrainTarget,
     limit: Duration,
     args: &ChangeArgs,
     progress: &mut dyn FnMut(&str),
@@ -120,29 +131,29 @@
     let begun = clock::now();
     let mut last = None;
     loop {
-        let counted = count(drained, args);
+        let counted = count_in_flight(target, args);
         if clock::elapsed(begun) > limit {
-            let reason = format!("{} is not quiet after {} s", drained.name, limit.as_secs());
+            let reason = format!("{} is not quiet after {} s", target.name, limit.as_secs());
             return Outcome::failed(UNAVAILABLE, reason);
         }
         match counted {
-            Ok(0) if clock::elapsed(begun) >= IN_FORCE_WITHIN => {
+            Ok(0) if clock::elapsed(begun) >= PROPAGATION_TIME => {
                 let ms = clock::elapsed(begun).as_millis();
-                return Outcome::done(format!("{} is quiet after {ms} ms", drained.name));
+                return Outcome::done(format!("{} is quiet after {ms} ms", target.name));
             }
             Ok(in_flight) if last != Some(in_flight) => {
-                progress(&format!("{}: {in_flight} in flight", drained.name));
+                progress(&format!("{}: {in_flight} in flight", target.name));
                 last = Some(in_flight);
             }
             Ok(_) => {}
             Err(reason) => progress(&reason),
         }
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(STATUS_INTERVAL);
     }
 }
 
-/// Requests in flight on what is drained, over all hosts that may have sent some.
-fn count(drained: &Drained, args: &ChangeArgs) -> Result<u32, String> {
+/// Requests in flight on the target, summed up over all hosts that the asked host knows.
+fn count_in_flight(target: &DrainTarget, args: &ChangeArgs) -> Result<u32, String> {
     let client = client(&args.host);
     let document = client
         .document()
@@ -152,16 +163,16 @@
     let names: Vec<&str> = document
         .upstreams
         .iter()
-        .filter(|upstream| match drained.kind {
-            Kind::Zone => upstream.zone == drained.name,
-            _ => upstream.name == drained.name,
+        .filter(|upstream| match target.kind {
+            Kind::Zone => upstream.zone == target.name,
+            _ => upstream.name == target.name,
         })
         .map(|upstream| upstream.name.as_str())
         .collect();
     let mut in_flight = 0;
     for host in &status.hosts {
-        let own = OperatorClient::new(host.operator_address, ASK_TIMEOUT);
-        let status = own
+        let client = OperatorClient::new(host.operator_address, STATUS_TIMEOUT);
+        let status = client
             .status()
             .map_err(|error| format!("{}: {error}", host.name))?;
         in_flight += status
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 mod change;
 mod check;
@@ -19,7 +19,7 @@
 
 use crate::cli::{Cli, Command};
 
-/// Runs a command; `progress` is given lines while it waits.
+/// Runs a command; calls `progress` with a line for each change while the command waits.
 pub fn run_with(cli: &Cli, progress: &mut dyn FnMut(&str)) -> Outcome {
     let output = cli.output;
     match &cli.command {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Runs a command; progress goes to standard error.
+/// Runs a command, and prints its progress to standard error.
 pub fn run(cli: &Cli) -> Outcome {
     run_with(cli, &mut |line| eprintln!("{line}"))
 }
@@ -78,5 +78,5 @@
     Outcome::done(String::from_utf8_lossy(&out))
 }
 
-/// State that `drain` sets.
+/// Label that `drain` sets, as key and value.
 const DRAINING: (&str, &str) = (STATE, STATE_DRAINING);
--- a/src/commands/outcome.rs
+++ b/src/commands/outcome.rs
@@ -1,34 +1,34 @@
-//! What a command prints, and its exit code.
+//! The result of a command: its output and exit code.
 
 use operator::ClientError;
 use steering::document::Verdict;
 
 use crate::cli::Output;
 
-/// What a command prints, and its exit code.
+/// Output and exit code of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// For standard output.
+    /// Text for standard output; may be empty.
     pub out: String,
-    /// For standard error.
+    /// Text for standard error; may be empty.
     pub err: String,
-    /// Exit code; the command line's help lists them.
+    /// Exit code, one of those that `--help` lists.
     pub code: u8,
 }
 
-/// The command did what it was asked.
+/// The command succeeded.
 pub const DONE: u8 = 0;
-/// Something in the input is wrong.
+/// The input is invalid; nothing was changed.
 pub const BAD_INPUT: u8 = 2;
-/// Another operator was first.
+/// Another operator has changed the same objects first.
 pub const CONFLICT: u8 = 3;
-/// What became of the change is not known.
+/// It is not known whether the change was made.
 pub const UNKNOWN: u8 = 4;
-/// The host or the platform can't be reached.
+/// The host or the platform can't be reached; nothing was changed.
 pub const UNAVAILABLE: u8 = 5;
 
 impl Outcome {
-    /// Done, with this output.
+    /// Success, with this output.
     pub fn done(out: impl Into<String>) -> Self {
         Outcome {
             out: out.into(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Failed, with this message.
+    /// Failure, with this exit code and message.
     pub fn failed(code: u8, err: impl ToString) -> Self {
         Outcome {
             out: String::new(),
@@ -46,12 +46,12 @@
         }
     }
 
-    /// A host could not be asked, and nothing was changed.
+    /// Failure of a request to a host that changed nothing.
     pub fn unreachable(error: &ClientError) -> Self {
         Outcome::failed(UNAVAILABLE, error)
     }
 
-    /// What became of a change.
+    /// Result of a proposed change; `id` is the identity of the change.
     pub fn of_verdict(verdict: &Verdict, id: &str, output: Output) -> Self {
         let (code, text) = match verdict {
             Verdict::Accepted(revision) => (DONE, format!("in force from revision {revision} on")),
--- a/src/commands/show.rs
+++ b/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `status`, `lookup`, `dump` and `show`.
+//! The commands `status`, `lookup`, `dump` and `show`, which print the state of a host.
 
 use std::fmt::Write;
 use std::net::{IpAddr, SocketAddr};
@@ -59,7 +59,7 @@
 }
 
 fn pretty<T: Serialize>(value: &T) -> String {
-    serde_json::to_string_pretty(value).expect("what hosts tell is valid JSON")
+    serde_json::to_string_pretty(value).expect("answers of hosts are valid JSON")
 }
 
 fn describe(status: &Status) -> String {
--- a/src/commands/works.rs
+++ b/src/commands/works.rs
@@ -1,4 +1,5 @@
-//! `works`: work that hosts refuse because upstreams end under it.
+//! The command `works`, which lists or changes the work that hosts refuse because it crashes
+//! upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,9 +29,12 @@
     match answer.status().as_u16() {
         200 => Outcome::done(answer.body_mut().read_to_string().unwrap_or_default()),
         204 => Outcome::done(""),
-        400 => Outcome::failed(BAD_INPUT, "WORK: sixteen hexadecimal digits are needed"),
-        403 => Outcome::failed(BAD_INPUT, "changes are taken from the host itself only"),
-        404 => Outcome::failed(BAD_INPUT, "WORK: nothing is held against it"),
+        400 => Outcome::failed(BAD_INPUT, "WORK must be sixteen hexadecimal digits"),
+        403 => Outcome::failed(
+            BAD_INPUT,
+            "changes are accepted from the host's own machine only",
+        ),
+        404 => Outcome::failed(BAD_INPUT, "WORK: nothing is held against this work"),
         status => Outcome::failed(UNAVAILABLE, format!("{at} answered {status}")),
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a host.
+//! Settings of a host, read from a JSON file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,70 +10,70 @@
 use steering::document::Problems;
 use steering::ids::{HostName, ZoneName};
 
-const PEER_KEY_LEAST: usize = 16;
-const HEAD_BYTES_LEAST: usize = 8_192;
-const NAME_LIMIT: usize = 64;
+const MIN_PEER_KEY_LEN: usize = 16;
+const MIN_HEAD_BYTES: usize = 8_192;
+const MAX_NAME_LEN: usize = 64;
 
-/// The settings of a host, as in its JSON file.
+/// Settings of a host, as in its JSON file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// Name of the host, unique in the deployment.
     pub host: HostName,
-    /// Availability zone that it stands in.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// IP number and port for callers.
+    /// IP address and port on which the host accepts requests of callers.
     pub caller_address: SocketAddr,
-    /// IP number and port for requests that other hosts relay.
+    /// IP address and port on which the host accepts requests that other hosts relay.
     pub relay_address: SocketAddr,
-    /// IP number and port for messages of other hosts.
+    /// IP address and port on which the host accepts messages of other hosts.
     pub peer_address: SocketAddr,
-    /// IP number and port for operators.
+    /// IP address and port on which the host accepts requests of operators.
     pub operator_address: SocketAddr,
-    /// IP number and port of the platform's service.
+    /// IP address and port of the platform's service.
     pub platform_address: SocketAddr,
-    /// Key that all hosts of the deployment share, at least 16 characters.
+    /// Secret key that all hosts of the deployment share, at least 16 characters.
     pub peer_key: String,
-    /// Addresses that others reach the host at, where they differ from its own.
+    /// Addresses at which others reach the host, where they differ from those it listens on.
     #[serde(default)]
     pub advertised: Advertised,
-    /// Peer addresses to ask at first, besides the platform's list.
+    /// Peer addresses of hosts to contact besides those in the platform's list.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Longest call to the platform, 10 to 60000 ms.
+    /// Timeout of a call to the platform, 10 to 60000 ms.
     #[serde(default = "default_platform_timeout_ms")]
     pub platform_timeout_ms: u64,
-    /// Time that callers may use a look-up's answer, 100 to 600000 ms.
+    /// Time that callers may cache the result of a look-up, 100 to 600000 ms.
     #[serde(default = "default_look_up_ttl_ms")]
     pub look_up_ttl_ms: u64,
-    /// Time that tickets are good for, 1000 to 3600000 ms.
+    /// Time from the issue of a ticket to its expiry, 1000 to 3600000 ms.
     #[serde(default = "default_ticket_ttl_ms")]
     pub ticket_ttl_ms: u64,
-    /// Time for which the platform's host list may lag, in ms.
+    /// Longest delay until a change shows in the platform's host list, 0 to 3600000 ms.
     #[serde(default = "default_host_list_lag_ms")]
     pub host_list_lag_ms: u64,
-    /// Threads for traffic, 1 to 64.
+    /// Threads that serve requests, 1 to 64.
     #[serde(default = "default_traffic_threads")]
     pub traffic_threads: usize,
-    /// What is logged: `error`, `warn`, `info`, `debug`, or a `tracing` filter.
+    /// Log filter: `error`, `warn`, `info`, `debug`, or a `tracing` filter.
     #[serde(default = "default_log")]
     pub log: String,
-    /// Bounds on what callers can make the host hold.
+    /// Bounds on the resources of the host that callers can use.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// Addresses that others reach a host at; none is the host's own.
+/// Addresses at which others reach a host; `None` stands for the one that it listens on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Advertised {
-    /// IP number and port for callers.
+    /// IP address and port for requests of callers.
     pub caller_address: Option<SocketAddr>,
-    /// IP number and port for requests that other hosts relay.
+    /// IP address and port for requests that other hosts relay.
     pub relay_address: Option<SocketAddr>,
-    /// IP number and port for messages of other hosts.
+    /// IP address and port for messages of other hosts.
     pub peer_address: Option<SocketAddr>,
-    /// IP number and port for operators.
+    /// IP address and port for requests of operators.
     pub operator_address: Option<SocketAddr>,
 }
 
@@ -101,27 +101,31 @@
     "info".to_owned()
 }
 
-/// Why settings are not taken.
+/// Why settings are rejected.
 #[derive(Debug, Display, Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[display("{path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It is not JSON of the right shape.
+    /// The text is not JSON, or has missing, unknown or mistyped fields.
     #[display("{_0}")]
-    Shape(serde_json::Error),
+    Format(serde_json::Error),
     /// Fields have wrong values.
     #[display("{_0}")]
     Values(Problems),
 }
 
 impl Config {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or its contents are rejected as by [`Config::parse`].
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.display().to_string(),
@@ -130,19 +134,23 @@
         Config::parse(&text)
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::Format`], or [`ConfigError::Values`] with all invalid fields.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let config: Config = serde_json::from_str(text).map_err(ConfigError::Shape)?;
+        let config: Config = serde_json::from_str(text).map_err(ConfigError::Format)?;
         config.check().map_err(ConfigError::Values)?;
         Ok(config)
     }
 
-    /// Time that callers may use a look-up's answer.
+    /// Time that callers may cache the result of a look-up.
     pub fn look_up_ttl(&self) -> Duration {
         Duration::from_millis(self.look_up_ttl_ms)
     }
 
-    /// Time that tickets are good for.
+    /// Time from the issue of a ticket to its expiry.
     pub fn ticket_ttl(&self) -> Duration {
         Duration::from_millis(self.ticket_ttl_ms)
     }
@@ -150,13 +158,13 @@
     fn check(&self) -> Result<(), Problems> {
         let mut problems = Problems::default();
         for (path, name) in [("host", &self.host), ("zone", &self.zone)] {
-            let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-            if name.is_empty() || name.len() > NAME_LIMIT || !name.chars().all(plain) {
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+            if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(is_allowed) {
                 problems.push(path, "must be 1 to 64 letters, digits, `-`, `_` or `.`");
             }
         }
-        if self.peer_key.len() < PEER_KEY_LEAST {
-            let reason = format!("must have at least {PEER_KEY_LEAST} characters");
+        if self.peer_key.len() < MIN_PEER_KEY_LEN {
+            let reason = format!("must have at least {MIN_PEER_KEY_LEN} characters");
             problems.push("peer_key", reason);
         }
         let ranges = [
@@ -168,7 +176,7 @@
             (
                 "limits.head_bytes",
                 self.limits.head_bytes as u64,
-                HEAD_BYTES_LEAST as u64,
+                MIN_HEAD_BYTES as u64,
                 1 << 20,
             ),
             (
@@ -208,17 +216,17 @@
                 1 << 24,
             ),
         ];
-        for (path, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                problems.push(path, format!("must be from {least} to {most}, is {value}"));
+        for (path, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                problems.push(path, format!("must be from {min} to {max}, is {value}"));
             }
         }
         self.check_addresses(&mut problems);
-        // The filter's parser panics at some texts that are not ASCII.
+        // The parser of the filter panics on some texts that are not ASCII.
         let is_filter =
             self.log.is_ascii() && self.log.parse::<tracing_subscriber::EnvFilter>().is_ok();
         if !is_filter {
-            problems.push("log", format!("`{}` is no log filter", self.log));
+            problems.push("log", format!("`{}` is not a valid log filter", self.log));
         }
         problems.into_result()
     }
@@ -234,8 +242,8 @@
             if address.ip().is_unspecified() {
                 problems.push(*path, "must be an IP number that others can reach");
             }
-            let twice = own[..i].iter().any(|(_, other)| other == address);
-            if address.port() != 0 && twice {
+            let is_repeated = own[..i].iter().any(|(_, other)| other == address);
+            if address.port() != 0 && is_repeated {
                 problems.push(*path, format!("`{address}` is used twice"));
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! stagedeck steers callers to upstreams that can answer, across regions and
-//! availability zones, on hosts that may vanish without notice.
+//! stagedeck routes callers' requests to upstreams that can serve them, across regions and
+//! availability zones, on hosts that may disappear without notice.
 //!
 //! ```
 //! use stagedeck::Config;
--- a/src/metrics_text.rs
+++ b/src/metrics_text.rs
@@ -1,16 +1,16 @@
-//! The process's metrics as Prometheus text.
+//! Metrics of the process in the Prometheus text format.
 
 use std::sync::OnceLock;
 
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
 
-/// Upper bounds of the buckets of latencies, in seconds: from a look-up to the longest
-/// goals that operators set.
+/// Upper bounds of the buckets of latency histograms, in seconds. They reach from the latency of
+/// a look-up to the longest latency goals that operators set.
 const LATENCY_BUCKETS_S: &[f64] = &[
     0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 5.0,
 ];
 
-/// The process's metrics; hosts of one process share them.
+/// Handle to the metrics of the process, which its hosts share; installs the recorder on first use.
 pub fn handle() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     HANDLE
@@ -22,14 +22,14 @@
                 .expect("there are buckets");
             let recorder = builder.build_recorder();
             let handle = recorder.handle();
-            // Another recorder of the embedding process stays in place.
+            // A recorder that the embedding process has installed already is kept.
             drop(metrics::set_global_recorder(recorder));
             handle
         })
         .clone()
 }
 
-/// All metrics as text.
+/// All metrics in the Prometheus text format.
 pub fn render() -> String {
     let handle = handle();
     handle.run_upkeep();
