--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, against a small deployment.
+//! The commands for operators, run against a small deployment.
 
 use std::path::PathBuf;
 use std::sync::LazyLock;
@@ -36,10 +36,10 @@
 #[case("railway.json", "6 zones, 2 services, 36 upstreams")]
 #[case("tax.json", "6 zones, 2 services, 36 upstreams")]
 #[case("settings.json", "good settings")]
-fn examples_are_good(#[case] file: &str, #[case] says: &str) {
+fn examples_pass_the_check(#[case] file: &str, #[case] expected: &str) {
     let outcome = run(&["check", &example(file)]);
     assert_eq!(outcome.code, 0, "{}", outcome.err);
-    assert!(outcome.out.contains(says), "{}", outcome.out);
+    assert!(outcome.out.contains(expected), "{}", outcome.out);
 }
 
 static SETTINGS: LazyLock<serde_json::Value> = LazyLock::new(|| {
@@ -57,21 +57,21 @@
 #[case("limits", serde_json::json!({"head_bytes": 10}), "limits.head_bytes: must be from 8192")]
 #[case("caller_address", serde_json::json!("localhost:80"), "invalid socket address")]
 #[case("look_up_ttl_s", serde_json::json!(5), "unknown field `look_up_ttl_s`")]
-fn wrong_settings_are_named(
+fn errors_name_the_invalid_setting(
     #[case] field: &str,
     #[case] value: serde_json::Value,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let mut settings = SETTINGS.clone();
     settings[field] = value;
     let error = Config::parse(&settings.to_string())
         .unwrap_err()
         .to_string();
-    assert!(error.contains(says), "{error}");
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn all_wrong_settings_come_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let mut settings = SETTINGS.clone();
     settings["host"] = "".into();
     settings["peer_key"] = "".into();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn changes_go_into_force_and_conflicts_and_errors_have_their_codes() {
+fn changes_take_effect_and_errors_have_their_exit_codes() {
     let (deployment, host) = start();
     let labelled = at(&host, &["label", "upstream/surcos-norte-1", "tier=gold"]);
     assert_eq!((labelled.code, labelled.err.as_str()), (0, ""));
@@ -93,16 +93,16 @@
     let wrong = at(&host, &["label", "zone/norte", "state=asleep"]);
     assert_eq!(wrong.code, 2);
     assert!(wrong.err.contains("zones[0].labels.state"), "{}", wrong.err);
-    let asked_again = ["label", "zone/norte", "a=b", "--change-id", "same"];
-    let first = at(&host, &asked_again);
-    assert_eq!(first, at(&host, &asked_again));
+    let repeated = ["label", "zone/norte", "a=b", "--change-id", "same"];
+    let first = at(&host, &repeated);
+    assert_eq!(first, at(&host, &repeated));
     deployment.platform.set_down(true);
     assert_eq!(at(&host, &["label", "zone/norte", "a=c"]).code, 5);
     assert_eq!(at("127.0.0.1:1", &["status"]).code, 5);
 }
 
 #[test]
-fn a_configuration_is_shown_as_it_can_be_applied() {
+fn a_shown_configuration_can_be_applied() {
     let (_deployment, host) = start();
     let shown = at(&host, &["show"]).out;
     let file = std::env::temp_dir().join(format!("stagedeck-{}.json", std::process::id()));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn status_dump_look_up_and_completions_print() {
+fn status_dump_look_up_and_completions_print_results() {
     let (deployment, host) = start();
     let status = at(&host, &["--output", "json", "status"]);
     let status: serde_json::Value = serde_json::from_str(&status.out).unwrap();
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -1,4 +1,5 @@
-//! A reader of the log that stops reading delays no request.
+//! Guards against requests that wait for the log: a reader of standard output that stops reading
+//! fills the pipe, and a write to it would then block.
 
 use std::fs;
 use std::io::Read;
@@ -13,23 +14,24 @@
 };
 use upstream::{Connections, Reuse};
 
-/// Requests whose lines, some 300 bytes each, fill the 64 KiB of a pipe several times.
+/// The log lines of this many requests, about 300 bytes each, exceed the 64 KiB of a pipe several
+/// times.
 const REQUESTS: usize = 1_000;
-/// Longest wait for one answer; no verdict hangs on it but that it comes at all.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// An address of loopback that no other test uses, and ports below those that Linux
-/// gives to connections: the program takes no port 0 from its settings.
+/// Longest wait for one response. The test fails only if there is none at all.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// A loopback address that no other test uses. The ports below are lower than the ephemeral ports
+/// of Linux; port 0 is not allowed in the settings.
 const IP: Ipv4Addr = Ipv4Addr::new(127, 44, 0, 9);
 
 async fn status(connections: &Connections, at: SocketAddr, path: &str, id: &str) -> Option<u16> {
-    let request = request(Method::GET, path, id, "17", PATIENCE);
-    let deadline = Instant::now() + PATIENCE;
+    let request = request(Method::GET, path, id, "17", TIMEOUT);
+    let deadline = Instant::now() + TIMEOUT;
     let sent = connections.send(at, 4, Reuse::Recent, request, deadline);
     sent.await.ok().map(|answer| answer.status().as_u16())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unread_log_delays_nothing() {
+async fn an_unread_log_delays_no_request() {
     let store = StandInStore::start(1).await.unwrap();
     let upstream = StandInUpstream::start("i-1", Manner::Answers(Duration::ZERO)).await;
     let upstream = upstream.unwrap();
@@ -67,5 +69,8 @@
         .read_to_string(&mut log)
         .unwrap();
     host.wait().unwrap();
-    assert!(log.contains("event=request "), "it did log: {log}");
+    assert!(
+        log.contains("event=request "),
+        "the requests were logged: {log}"
+    );
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,17 +1,17 @@
-//! The operators' page names every event of the platform's path, and no other.
+//! Checks that the operators' page lists exactly the log events of a host on the platform.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Sources whose events the page's last table lists.
+/// Source files and directories whose events the last table of the page lists.
 const SOURCES: &[&str] = &[
     "crates/clock/src",
     "crates/gateway/src",
     "src/commands/gateway.rs",
     "src/logging.rs",
 ];
-/// What stands before an event's name.
+/// Source text that precedes the name of an event.
 const STARTS: &[&str] = &["event = \"", "tell!(info, \"", "tell!(warn, \""];
 const TABLE: &str = "### Events on the platform";
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_page_lists_every_event() {
+fn the_page_lists_exactly_the_events() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut events = BTreeSet::new();
     for source in SOURCES {
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Hosts as separate processes: killed, frozen and stopped.
+//! Hosts as separate processes that are killed, frozen and stopped.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -24,7 +24,7 @@
 }
 
 impl Process {
-    /// Starts a host on free ports, and waits until the platform lists it.
+    /// Starts a host on free ports, and waits until it is in the platform's list.
     fn start(name: &str, zone: &str, platform: &StandInPlatform) -> Process {
         let any = any_port();
         let text = serde_json::json!({
@@ -88,15 +88,15 @@
     }
 }
 
-struct Bench {
+struct TestDeployment {
     platform: StandInPlatform,
     upstreams: BTreeMap<String, StandInUpstream>,
     processes: Vec<Process>,
     _runtime: Runtime,
 }
 
-impl Bench {
-    fn start() -> Bench {
+impl TestDeployment {
+    fn start() -> TestDeployment {
         let runtime = Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
@@ -121,13 +121,13 @@
             Process::start("n2", "norte", &platform),
             Process::start("p1", "puerto", &platform),
         ];
-        let bench = Bench {
+        let deployment = TestDeployment {
             platform,
             upstreams,
             processes,
             _runtime: runtime,
         };
-        let first = &bench.processes[0];
+        let first = &deployment.processes[0];
         eventually("the first host answers", || {
             first.operator().status().is_ok()
         })
@@ -136,19 +136,20 @@
         let proposal = steering::document::Proposal { change, base: 0 };
         first.operator().propose(&proposal).unwrap();
         eventually("all know all", || {
-            bench.processes.iter().all(|process| process.knows(3))
+            deployment.processes.iter().all(|process| process.knows(3))
         })
         .unwrap();
-        bench
+        deployment
     }
 
-    fn entries(&self) -> Vec<SocketAddr> {
+    fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.processes
             .iter()
             .map(|process| process.config.caller_address)
             .collect()
     }
 
+    /// How often the upstreams have run each operation.
     fn operations(&self) -> BTreeMap<String, u32> {
         let mut all = BTreeMap::new();
         for upstream in self.upstreams.values() {
@@ -159,54 +160,57 @@
         all
     }
 
-    /// Callers that consult and reserve; their operations are not those of another load.
+    /// Starts callers that consult and reserve; `tag` keeps their operations apart from those of
+    /// other loads.
     fn load(&self, tag: &str) -> Load {
         let plan = LoadPlan {
             tag: tag.to_owned(),
             ..LoadPlan::default()
         };
-        Load::start(self.entries(), &plan)
+        Load::start(self.caller_addresses(), &plan)
     }
 }
 
-fn check(bench: &Bench, seen: &LoadReport) {
-    let operations = bench.operations();
-    assert_eq!(seen.wrong, 0);
+/// Asserts that no operation ran twice, and that none ran of which the caller was told otherwise.
+fn assert_consistent(deployment: &TestDeployment, report: &LoadReport) {
+    let operations = deployment.operations();
+    assert_eq!(report.wrong, 0);
     assert_eq!(run_twice(&operations), 0);
     assert_eq!(
-        seen.lies(&operations),
+        report.lies(&operations),
         Vec::<String>::new(),
-        "told not run, but ran"
+        "reported as not run, but ran"
     );
 }
 
-fn cut(seen: &LoadReport) -> u64 {
-    seen.consulted.cut + seen.reserved.cut
+/// Number of requests whose connection broke.
+fn cut(report: &LoadReport) -> u64 {
+    report.consulted.cut + report.reserved.cut
 }
 
 #[test]
 fn a_killed_host_leaves_the_others_serving() {
-    let mut bench = Bench::start();
-    let victim = bench.processes.remove(0);
-    let load = bench.load("killed");
+    let mut deployment = TestDeployment::start();
+    let victim = deployment.processes.remove(0);
+    let load = deployment.load("killed");
     load.wait_for(50).unwrap();
     victim.signal(Signal::SIGKILL);
-    bench.platform.remove_host("n1");
+    deployment.platform.remove_host("n1");
     load.wait_for(200).unwrap();
     eventually("the others count it out", || {
-        bench.processes.iter().all(|p| p.knows(2))
+        deployment.processes.iter().all(|p| p.knows(2))
     })
     .unwrap();
-    check(&bench, &load.stop());
+    assert_consistent(&deployment, &load.stop());
 }
 
 #[test]
-fn a_frozen_host_that_resumes_does_no_harm() {
-    let bench = Bench::start();
-    let load = bench.load("frozen");
+fn a_frozen_host_that_resumes_causes_no_inconsistency() {
+    let deployment = TestDeployment::start();
+    let load = deployment.load("frozen");
     load.wait_for(50).unwrap();
-    bench.processes[1].signal(Signal::SIGSTOP);
-    let others = [&bench.processes[0], &bench.processes[2]];
+    deployment.processes[1].signal(Signal::SIGSTOP);
+    let others = [&deployment.processes[0], &deployment.processes[2]];
     eventually("the others count it out", || {
         others.iter().all(|process| {
             let status = process.operator().status();
@@ -216,35 +220,35 @@
         })
     })
     .unwrap();
-    bench.processes[1].signal(Signal::SIGCONT);
+    deployment.processes[1].signal(Signal::SIGCONT);
     eventually("it is back", || {
-        bench.processes.iter().all(|process| process.knows(3))
+        deployment.processes.iter().all(|process| process.knows(3))
     })
     .unwrap();
     load.wait_for(100).unwrap();
-    let seen = load.stop();
-    check(&bench, &seen);
+    let report = load.stop();
+    assert_consistent(&deployment, &report);
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing_and_exits_with_0() {
-    let mut bench = Bench::start();
-    let mut leaving = bench.processes.remove(1);
-    // A download that runs over the leaving host while it stops.
+fn a_graceful_stop_interrupts_no_request_and_exits_with_0() {
+    let mut deployment = TestDeployment::start();
+    let mut leaving = deployment.processes.remove(1);
+    // A download through the host that stops meanwhile.
     let download = {
         let mut caller = TrialCaller::new("surcos", vec![leaving.config.caller_address]);
         caller.pin(leaving.config.caller_address);
         std::thread::spawn(move || caller.download("/archive?300000000"))
     };
     let busy = || {
-        bench
+        deployment
             .upstreams
             .values()
             .any(|upstream| upstream.in_flight() > 0)
     };
     eventually("the download runs", busy).unwrap();
     let mut status = None;
-    let load = bench.load("stopped");
+    let load = deployment.load("stopped");
     load.wait_for(50).unwrap();
     leaving.signal(Signal::SIGTERM);
     eventually("it exits", || {
@@ -253,41 +257,41 @@
     })
     .unwrap();
     load.wait_for(100).unwrap();
-    let seen = load.stop();
+    let report = load.stop();
     assert_eq!(status.unwrap().code(), Some(0));
     assert_eq!(download.join().unwrap(), Ok(300_000_000));
-    assert_eq!(cut(&seen), 0);
-    assert!(seen.told_not_run.is_empty(), "{:?}", seen.told_not_run);
-    check(&bench, &seen);
+    assert_eq!(cut(&report), 0);
+    assert!(report.told_not_run.is_empty(), "{:?}", report.told_not_run);
+    assert_consistent(&deployment, &report);
 }
 
 #[test]
-fn all_hosts_replaced_one_by_one_lose_nothing() {
-    let mut bench = Bench::start();
+fn replacing_all_hosts_one_by_one_loses_no_request() {
+    let mut deployment = TestDeployment::start();
     for (name, zone) in [("n1", "norte"), ("n2", "norte"), ("p1", "puerto")] {
         let next = format!("{name}-next");
-        let new = Process::start(&next, zone, &bench.platform);
+        let new = Process::start(&next, zone, &deployment.platform);
         eventually("the new host is known", || new.knows(4)).unwrap();
-        bench.processes.push(new);
-        let mut old = bench.processes.remove(0);
-        let load = bench.load(name);
+        deployment.processes.push(new);
+        let mut old = deployment.processes.remove(0);
+        let load = deployment.load(name);
         load.wait_for(20).unwrap();
         old.signal(Signal::SIGTERM);
         eventually("it exits", || old.child.try_wait().unwrap().is_some()).unwrap();
-        bench.platform.remove_host(name);
+        deployment.platform.remove_host(name);
         load.wait_for(20).unwrap();
-        let seen = load.stop();
-        assert_eq!(cut(&seen), 0);
-        check(&bench, &seen);
+        let report = load.stop();
+        assert_eq!(cut(&report), 0);
+        assert_consistent(&deployment, &report);
         eventually("three are left", || {
-            bench.processes.iter().all(|p| p.knows(3))
+            deployment.processes.iter().all(|p| p.knows(3))
         })
         .unwrap();
     }
 }
 
 #[test]
-fn a_host_that_cannot_start_says_why() {
+fn a_host_that_cannot_start_reports_the_reason() {
     let taken = TcpListener::bind(any_port()).unwrap();
     let platform = StandInPlatform::start(any_port()).unwrap();
     let process = Process::start("n1", "norte", &platform);
@@ -301,11 +305,11 @@
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(5));
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("caller_address"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("caller_address"), "{stderr}");
 }
 
-/// Splits a line of key=value pairs; none where it is anything else.
+/// Splits a line of `key=value` pairs; `None` if the line has another format.
 fn pairs(line: &str) -> Option<Vec<(&str, &str)>> {
     let mut pairs = Vec::new();
     let mut rest = line;
@@ -347,7 +351,7 @@
     for line in lines.map_while(Result::ok) {
         let pairs = pairs(&line).unwrap_or_else(|| panic!("no pairs: {line}"));
         let first: Vec<&str> = pairs.iter().take(3).map(|(key, _)| *key).collect();
-        // Libraries log beside us; their lines have a message in place of an event.
+        // Lines of libraries have a message in place of an event.
         assert_eq!(first[..2], ["time_ms", "level"], "{line}");
         events.extend(
             pairs
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings from anywhere are taken whole, or refused with the field that is wrong.
+//! Random settings are either accepted without loss, or rejected with a reason.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngSeed};
 use serde_json::{Value, json};
 use stagedeck::Config;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "host": "n1", "zone": "norte",
         "caller_address": "127.0.0.1:8080", "relay_address": "127.0.0.1:8081",
@@ -38,28 +38,28 @@
     })]
 
     #[test]
-    fn settings_that_are_taken_mean_what_they_say(field in any::<prop::sample::Index>(), value in value()) {
-        let mut settings = good();
+    fn accepted_settings_survive_a_round_trip(field in any::<prop::sample::Index>(), value in value()) {
+        let mut settings = valid_settings();
         let fields = settings.as_object_mut().unwrap();
         let name = fields.keys().nth(field.index(fields.len())).unwrap().clone();
         fields.insert(name.clone(), value);
         match Config::parse(&settings.to_string()) {
-            Ok(taken) => {
-                let again = serde_json::to_string(&taken).unwrap();
-                prop_assert_eq!(Config::parse(&again).unwrap(), taken);
+            Ok(accepted) => {
+                let text = serde_json::to_string(&accepted).unwrap();
+                prop_assert_eq!(Config::parse(&text).unwrap(), accepted);
             }
             Err(error) => prop_assert!(!error.to_string().is_empty()),
         }
     }
 
     #[test]
-    fn any_text_is_refused_with_a_reason(text in ".{0,200}") {
-        let refused = Config::parse(&text).unwrap_err();
-        prop_assert!(!refused.to_string().is_empty());
+    fn any_text_is_rejected_with_a_reason(text in ".{0,200}") {
+        let error = Config::parse(&text).unwrap_err();
+        prop_assert!(!error.to_string().is_empty());
     }
 }
 
 #[test]
-fn the_good_settings_are_good() {
-    Config::parse(&good().to_string()).unwrap();
+fn valid_settings_are_accepted() {
+    Config::parse(&valid_settings().to_string()).unwrap();
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short soak of real hosts with fixed seeds; `platform/standin` has the long one.
+//! A short soak test of real hosts with fixed seeds; `platform/standin` has the long one.
 
 use std::path::Path;
 
 use platform_standin::{SoakPlan, soak};
 use rstest::rstest;
 
-/// What a soak has beside the usual faults.
+/// What a soak test has in addition to the usual faults.
 #[derive(Debug, PartialEq)]
 enum Extra {
     None,
@@ -14,17 +14,18 @@
     Crashes,
 }
 
-/// Seeds that failed once stay here, each with its cause.
+/// Seeds that failed once are kept here, each with its cause.
 #[rstest]
 #[case::short(1, Extra::None)]
-// The first fault keeps one host from writing its row: it counts itself and the others, who do
-// not count it, and the parts of an allowance add up to more than the whole.
+// The first fault keeps one host from writing its row in the store. This host counts itself and
+// the others, which do not count it, so that the shares of an allowance add up to more than the
+// whole.
 #[case::a_host_that_is_not_listed(1023, Extra::None)]
 #[case::limits(2, Extra::Limits)]
 #[case::an_undisturbed_host(3, Extra::UndisturbedHost)]
 #[case::crashing_requests(4, Extra::Crashes)]
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_under_faults(#[case] seed: u64, #[case] extra: Extra) {
+async fn invariants_hold_under_faults(#[case] seed: u64, #[case] extra: Extra) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     std::fs::create_dir_all(&folder).unwrap();
     let plan = SoakPlan {
