--- a/crates/gateway/src/control/work_updates.rs
+++ b/crates/gateway/src/control/work_updates.rs
@@ -40,7 +40,10 @@
                 batch.push(next);
             }
             let current = |pending: &PendingWorkUpdate| WorkUpdate {
-                event: pending.update.event.aged_by(clock::elapsed(pending.learned)),
+                event: pending
+                    .update
+                    .event
+                    .aged_by(clock::elapsed(pending.learned)),
                 ..pending.update
             };
             self.send_work(batch.iter().map(current).collect(), self.group());
