--- a/crates/steering/src/route/catalog.rs
+++ b/crates/steering/src/route/catalog.rs
@@ -1,4 +1,4 @@
-//! The upstreams that report themselves, as this host knows them.
+//! The registered upstreams, as known to this host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,52 +7,53 @@
 use super::news_timing::LAPSES_TOLD_WITHIN;
 use super::upstream::{ReportedUpstream, UpstreamId};
 
-/// Time after the store's return in which live upstreams report themselves again;
-/// the operators give about 2 s.
-const REPORT_AGAIN_WITHIN: Duration = Duration::from_millis(2_200);
+/// Time after the store's return within which live upstreams register again; operators give
+/// about 2 s.
+const REGISTRATION_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Difference between two ends of the same warm-up: reports are read up to a second
-/// after they were written.
-const COLD_JITTER: Duration = Duration::from_secs(1);
+/// Maximum difference between two computed ends of the same warm-up: reports are read up to
+/// a second after they were written.
+const WARM_UP_END_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// A report with what was learned around it.
+/// A report with data derived from the feed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listed {
     /// The upstream's report.
     pub report: ReportedUpstream,
-    /// End of its warm-up, where it has said that it is cold.
+    /// End of the warm-up; `None` if the upstream did not report that it is cold.
     pub cold_until: Option<Instant>,
-    /// Whether its report has vanished around an outage of the store; it is dropped when its
-    /// upstream has had time to report itself again.
+    /// Whether the report vanished around an outage of the store. It is dropped once the
+    /// upstream has had time to register again.
     vanished: bool,
-    /// Hash of the report, without what changes with time.
+    /// Hash of the report without its time-dependent fields.
     fingerprint: u64,
 }
 
-/// What a part of the feed has changed.
+/// A change of the catalog.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CatalogChange {
-    /// A report is new, or says something new.
+    /// A report is new or has changed.
     Reported(ReportedUpstream),
-    /// A report is no longer there.
+    /// A report is gone.
     Gone {
-        /// Whose it was.
+        /// Identity of the upstream.
         id: UpstreamId,
-        /// Whether the upstream is dropped at once, not only if it stays silent.
+        /// Whether the upstream is dropped at once. Otherwise it is dropped only if it does
+        /// not register again.
         at_once: bool,
     },
 }
 
-/// All listed upstreams by identity.
+/// All registered upstreams by identity.
 ///
-/// A report that vanishes while the store is away may have lapsed only because its
-/// upstream could not renew it. Such an upstream stays until the time in which it
-/// can report itself again has passed.
+/// A report that vanishes while the store is unavailable may have expired only because its
+/// upstream could not renew it. Such an upstream stays until it has had time to register
+/// again.
 #[derive(Debug, Default)]
 pub struct Catalog {
     listed: BTreeMap<UpstreamId, Listed>,
     is_read: bool,
-    /// When the store answered again after it had been away.
+    /// Time at which the store answered again after an outage.
     store_back: Option<Instant>,
 }
 
@@ -66,60 +67,61 @@
 }
 
 impl Catalog {
-    /// Notes when the store answered again after an outage; none where there was no outage,
-    /// whatever was taken for one before.
+    /// Records when the store answered again after an outage; `None` if there was no
+    /// outage, even if one was recorded before.
     pub fn store_returned(&mut self, at: impl Into<Option<Instant>>) {
         self.store_back = at.into();
     }
 
-    /// When the store answered again, if it was ever away.
+    /// Returns when the store answered again; `None` without an outage.
     pub fn store_back(&self) -> Option<Instant> {
         self.store_back
     }
 
-    /// Until when reports that vanished around an outage are waited for; none where they are
-    /// not any more.
+    /// Returns the end of the grace time for reports that vanished around an outage; `None`
+    /// outside of it.
     pub fn waits_until(&self, now: Instant) -> Option<Instant> {
-        let until = self.store_back.map(|back| back + REPORT_AGAIN_WITHIN);
+        let until = self.store_back.map(|back| back + REGISTRATION_GRACE);
         until.filter(|until| *until > now)
     }
 
-    /// Whether the report of any listed upstream has vanished.
+    /// Returns whether the report of any listed upstream has vanished.
     pub fn has_vanished(&self) -> bool {
         self.listed.values().any(|listed| listed.vanished)
     }
 
-    /// Takes a part of the feed in its order, or all of it; says what has changed.
+    /// Applies changes of the feed in order, or a complete snapshot, and returns what has
+    /// changed.
     pub fn take(&mut self, now: Instant, changes: &Changes) -> Vec<CatalogChange> {
         self.is_read |= changes.whole;
-        let mut taken = Vec::new();
-        for id in self.lacking(changes) {
+        let mut applied = Vec::new();
+        for id in self.missing_from(changes) {
             let at_once = self.remove(now, &id);
-            taken.push(CatalogChange::Gone { id, at_once });
+            applied.push(CatalogChange::Gone { id, at_once });
         }
         for record in &changes.records {
             match record {
                 Record::Upstream(report) if self.put(now, report.clone()) => {
-                    taken.push(CatalogChange::Reported(report.clone()));
+                    applied.push(CatalogChange::Reported(report.clone()));
                 }
-                // Whoever wrote it, it names no upstream any more.
+                // An invalid report names no upstream any more, whoever wrote it.
                 Record::Unusable { key, .. } if self.listed.remove(key).is_some() => {
                     let id = key.clone();
-                    taken.push(CatalogChange::Gone { id, at_once: true });
+                    applied.push(CatalogChange::Gone { id, at_once: true });
                 }
                 Record::UpstreamGone(id) if self.listed.contains_key(id) => {
                     let at_once = self.remove(now, id);
                     let id = id.clone();
-                    taken.push(CatalogChange::Gone { id, at_once });
+                    applied.push(CatalogChange::Gone { id, at_once });
                 }
                 _ => {}
             }
         }
-        taken
+        applied
     }
 
-    /// Upstreams that a whole feed no longer has.
-    fn lacking(&self, changes: &Changes) -> Vec<UpstreamId> {
+    /// Returns the upstreams that are missing in a complete snapshot.
+    fn missing_from(&self, changes: &Changes) -> Vec<UpstreamId> {
         if !changes.whole {
             return Vec::new();
         }
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// Takes a report; true where anything but its age has changed.
+    /// Stores a report. Returns true if more than its age has changed.
     fn put(&mut self, now: Instant, report: ReportedUpstream) -> bool {
         let cold_until = (!report.cold_for.is_zero()).then(|| now + report.cold_for);
         let fingerprint = report.fingerprint();
@@ -145,7 +147,7 @@
         let changed = known.is_none_or(|known| {
             known.fingerprint != fingerprint
                 || known.vanished
-                || has_turned(known.cold_until, cold_until)
+                || warm_up_changed(known.cold_until, cold_until)
         });
         let listed = Listed {
             cold_until,
@@ -157,12 +159,12 @@
         changed
     }
 
-    /// Takes a report away, at once or when its upstream has had time to renew it;
-    /// true where it is gone at once.
+    /// Removes a report, at once or when its upstream has had time to renew it. Returns
+    /// true if it is removed at once.
     fn remove(&mut self, now: Instant, id: &str) -> bool {
         let may_have_lapsed = self.store_back.is_some_and(|back| {
-            let told_until = back + LAPSES_TOLD_WITHIN;
-            back <= now && now <= told_until
+            let lapses_until = back + LAPSES_TOLD_WITHIN;
+            back <= now && now <= lapses_until
         });
         match self.listed.get_mut(id) {
             Some(listed) if listed.vanished || may_have_lapsed => {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Drops what was not renewed in time; true where any was dropped.
+    /// Drops reports that were not renewed in time. Returns true if any was dropped.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.listed.len();
         let waits = self.waits_until(now).is_some();
@@ -182,15 +184,15 @@
         before != self.listed.len()
     }
 
-    /// Whether all reports have been read.
+    /// Returns whether a complete snapshot has been read.
     pub fn is_read(&self) -> bool {
         self.is_read
     }
 
-    /// The reports that are there now, as if they were made now.
+    /// Returns the current reports, with remaining warm-up times as of now.
     pub fn state(&self, now: Instant) -> Vec<Record> {
-        let there = self.listed.values().filter(|l| !l.vanished);
-        let reports = there.map(|listed| ReportedUpstream {
+        let current = self.listed.values().filter(|l| !l.vanished);
+        let reports = current.map(|listed| ReportedUpstream {
             cold_for: listed
                 .cold_until
                 .map_or(Duration::ZERO, |until| until.saturating_duration_since(now)),
@@ -199,23 +201,23 @@
         reports.map(Record::Upstream).collect()
     }
 
-    /// Digest of the reports that are there now, the same wherever they were learned.
+    /// Returns the digest of the current reports, the same whichever way they were learned.
     pub fn digest(&self) -> FeedDigest {
-        let there = self.listed.values().filter(|l| !l.vanished);
-        // The order in which they were learned must not matter.
-        there.fold(0, |digest, listed| digest ^ listed.fingerprint)
+        let current = self.listed.values().filter(|l| !l.vanished);
+        // The digest must not depend on the order in which reports were learned.
+        current.fold(0, |digest, listed| digest ^ listed.fingerprint)
     }
 
-    /// Every listed upstream.
+    /// Returns every registered upstream.
     pub fn listed(&self) -> impl Iterator<Item = &Listed> {
         self.listed.values()
     }
 }
 
-/// Whether a warm-up has begun, ended, or begun again since it was last known.
-fn has_turned(known: Option<Instant>, reported: Option<Instant>) -> bool {
+/// Returns whether a warm-up has begun, ended, or begun again since the known report.
+fn warm_up_changed(known: Option<Instant>, reported: Option<Instant>) -> bool {
     match (known, reported) {
-        (Some(known), Some(reported)) => reported > known + COLD_JITTER,
+        (Some(known), Some(reported)) => reported > known + WARM_UP_END_TOLERANCE,
         (known, reported) => known.is_some() != reported.is_some(),
     }
 }
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -1,10 +1,10 @@
-//! Which upstream of a region gets a request.
+//! Selects the upstream of a region that receives a request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use super::estimate::{Familiarity, Standing};
-use super::expectation::{Expectation, Seen, expect};
+use super::expectation::{Expectation, UpstreamSnapshot, predict};
 use super::homes::rank;
 use super::no_room::{NoRoom, PassedOver};
 use super::pace::cold_share;
@@ -14,45 +14,46 @@
 use crate::ids::HostName;
 use crate::statement::{LimitHeard, Obstacle};
 
-/// Wait at an object's home, as a share of its goal, up to which it is sent there. Work
-/// at an upstream that does not hold the object takes three times as long, and makes
-/// that upstream forget another object: waiting is better, and beyond this share a
-/// refusal with a time to come back is. Measured in docs/decisions/platform.md.
-const WAIT_MOST: f64 = 1.5;
-/// Homes of an object among which the best is chosen.
-const HOMES: usize = 2;
-/// What it costs to have an object held by one more upstream, which must fetch it and
-/// forgets another for it.
-const REPLICA: f64 = 1.5;
-/// Share of an upstream that one object takes, by the requests of all hosts, from which
-/// on another home helps where the first is too full.
-const HOT: f64 = 0.5;
-/// An upstream, and how it came to be chosen.
+/// Longest queueing time accepted at an object's home, as a multiple of the latency goal.
+/// At an upstream that does not hold the object the work takes three times as long and
+/// evicts another object, so waiting is better up to this time. Beyond it the request is
+/// refused with a retry time. See docs/decisions/platform.md.
+const MAX_WAIT_GOALS: f64 = 1.5;
+/// Number of an object's homes that are compared.
+const HOMES_COMPARED: usize = 2;
+/// Utility subtracted for a further upstream that has to fetch the object: it evicts
+/// another object for it.
+const REPLICA_COST: f64 = 1.5;
+/// Share of an upstream's slots taken by the requests of all hosts for one object, from
+/// which a second home may relieve a first that is too full.
+const HOT_OBJECT_SHARE: f64 = 0.5;
+/// The selected upstream with the data that led to its selection.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The upstream.
+    /// The selected upstream.
     pub upstream: Arc<Upstream>,
-    /// Its place among the object's homes; 0 is the first.
+    /// Rank among the object's homes; 0 is the first.
     pub rank: usize,
-    /// Load that it was believed to have.
+    /// Requests running and waiting there, as estimated at selection.
     pub load: f64,
-    /// Age of its own report of load, where it is still believed.
+    /// Age of the upstream's load report; `None` if no current report exists.
     pub load_age: Option<Duration>,
-    /// Whether it was believed to be cold.
+    /// Whether the upstream counted as cold.
     pub cold: bool,
-    /// Most connections to it, where the operator bounds them.
+    /// Maximum number of connections to the upstream; `None` if the operator sets no limit.
     pub connections: Option<u32>,
-    /// What was expected of it.
+    /// Predicted wait, work time and utility.
     pub expectation: Expectation,
-    /// Upstreams before it in the ranking that were passed over for what they have said.
+    /// Higher-ranked upstreams skipped because of their own statements.
     pub passed_over: Vec<UpstreamId>,
-    /// Whether it has a token of the limit that its upstream names.
+    /// Whether the request holds a token of the rate limit that the upstream declares.
     pub has_token: bool,
 }
 
 impl Choice {
-    /// What its upstream has said since it was chosen, and bars the request: it may have
-    /// answered others while this one waited, up to 300 ms, for a connection.
+    /// Returns what the upstream has declared since its selection that forbids sending the
+    /// request. A request may wait up to 300 ms for a connection, and the upstream may
+    /// answer others meanwhile.
     pub fn barred(&self, now: Instant) -> Option<Obstacle> {
         let condition = self.upstream.condition();
         let obstacle = condition.obstacle(now);
@@ -61,12 +62,13 @@
         barring.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
     }
 
-    /// The limit of which the request needs a token before it is sent.
+    /// Returns the rate limit of which the request needs a token before it is sent.
     pub fn limit(&self, now: Instant) -> Option<LimitHeard> {
         self.upstream.condition().stated.limit_heard(now)
     }
 
-    /// Counts the request that is about to be sent; `object` is its own, where it has one.
+    /// Counts a request that is about to be sent. `object` is the hash of its object, if it
+    /// has one.
     pub fn begin(&self, now: Instant, object: Option<u64>) {
         let mut condition = self.upstream.condition();
         condition.cold_part.take(now);
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Takes that no answer had come after `silent`: the upstream takes at least so long.
+    /// Records that no answer arrived within `silent`, as a lower bound of the upstream's
+    /// response time.
     pub fn gave_no_answer(&self, now: Instant, silent: Duration) {
         let expected = self.expectation.longest();
         let times = self.expectation.speed * silent.as_secs_f64() / expected.as_secs_f64();
@@ -85,21 +88,25 @@
     }
 }
 
-/// Chooses among a region's upstreams.
+/// Selects one of a region's upstreams.
+///
+/// # Errors
+///
+/// Returns [`NoRoom`] with the cause and a retry time if no upstream can take the request.
 pub fn choose(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Result<Choice, NoRoom> {
-    let Homes {
+    let Candidates {
         healthy,
-        last,
+        fallback,
         passed_over,
     } = match wish.by_object {
-        true => homes(pool, wish, now, HOMES),
-        false => first_by_chance(pool, wish, now),
+        true => ranked_candidates(pool, wish, now, HOMES_COMPARED),
+        false => random_candidates(pool, wish, now),
     };
     let chosen = best(healthy, wish).or_else(|no_room| {
-        // Those that come last help only where no other can be reached.
+        // Fallback candidates are used only if no other candidate is reachable.
         match no_room.is_reachable() {
             true => Err(no_room),
-            false => best(last, wish),
+            false => best(fallback, wish),
         }
     });
     match chosen {
@@ -107,12 +114,12 @@
             passed_over: passed_over.named,
             ..choice
         }),
-        Err(no_room) => Err(explained(no_room, passed_over, wish)),
+        Err(no_room) => Err(with_stated_cause(no_room, passed_over, wish)),
     }
 }
 
-/// The refusal with what the upstreams have said that were passed over.
-fn explained(no_room: NoRoom, passed_over: PassedOver, wish: &Wish<'_>) -> NoRoom {
+/// Adds the statements of skipped upstreams to the refusal.
+fn with_stated_cause(no_room: NoRoom, passed_over: PassedOver, wish: &Wish<'_>) -> NoRoom {
     let no_room = match (passed_over.rest, passed_over.limit) {
         _ if no_room.is_reachable() => no_room,
         (Some(rest), limit) if limit.is_none_or(|limit| rest < limit.wait) => {
@@ -127,111 +134,122 @@
     }
 }
 
-/// Work on no object goes to the better of two by chance: two choices balance nearly as
-/// well as all, and hosts that know the same loads do not all run to the same upstream
-/// (Mitzenmacher, "The power of two choices in randomized load balancing", IEEE
-/// Transactions on Parallel and Distributed Systems 12(10), 2001). Where both are full,
-/// all are weighed.
-fn first_by_chance(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Homes {
-    let first_two = homes(pool, wish, now, 2);
+/// Selects candidates for a request without an object: the first two of a random ranking.
+/// Two random choices balance nearly as well as a comparison of all upstreams, and hosts
+/// that know the same loads do not all send to the same upstream (Mitzenmacher, "The power
+/// of two choices in randomized load balancing", IEEE Transactions on Parallel and
+/// Distributed Systems 12(10), 2001). If both are full, all upstreams are compared.
+fn random_candidates(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Candidates {
+    let candidates = ranked_candidates(pool, wish, now, 2);
     let is_free = |choice: &Choice| choice.expectation.wait.is_zero();
-    match first_two.healthy.iter().any(is_free) {
-        true => first_two,
-        false => homes(pool, wish, now, usize::MAX),
+    match candidates.healthy.iter().any(is_free) {
+        true => candidates,
+        false => ranked_candidates(pool, wish, now, usize::MAX),
     }
 }
 
-/// Usable upstreams in the order of an object's ranking.
+/// Usable upstreams in rank order.
 #[derive(Default)]
-struct Homes {
+struct Candidates {
     healthy: Vec<Choice>,
-    /// Those in a doubted zone, or whose limit leaves this object to others.
-    last: Vec<Choice>,
+    /// Upstreams in a zone that is suspected to be down, or whose rate limit assigns the
+    /// object to other upstreams.
+    fallback: Vec<Choice>,
     passed_over: PassedOver,
 }
 
-/// The first `most` healthy upstreams in the object's ranking, and the others before them.
-fn homes(pool: &RegionPool, wish: &Wish<'_>, now: Instant, most: usize) -> Homes {
+/// Returns the first `most` healthy upstreams in the object's ranking, and the fallback and
+/// skipped upstreams ranked before them.
+fn ranked_candidates(pool: &RegionPool, wish: &Wish<'_>, now: Instant, most: usize) -> Candidates {
     let members = pool.upstreams.iter();
     let members = members.map(|upstream| (upstream.hash, f64::from(upstream.report.slots)));
-    let mut homes = Homes::default();
-    for (rank, at) in rank(wish.object, members).enumerate() {
-        let upstream = &pool.upstreams[at];
+    let mut candidates = Candidates::default();
+    for (rank, index) in rank(wish.object, members).enumerate() {
+        let upstream = &pool.upstreams[index];
         let obstacle = upstream.condition().obstacle(now);
         if let Some(obstacle) = obstacle {
-            homes.passed_over.add(upstream, obstacle, HOMES);
+            candidates
+                .passed_over
+                .add(upstream, obstacle, HOMES_COMPARED);
             continue;
         }
-        let Some(choice) = usable(upstream, rank, wish, now) else {
+        let Some(choice) = candidate(upstream, rank, wish, now) else {
             continue;
         };
-        let comes_last = upstream.zone().is_doubted(now) || !upstream.keeps(now, wish);
-        match comes_last {
-            true => homes.last.push(choice),
-            false => homes.healthy.push(choice),
+        let is_fallback = upstream.zone().is_doubted(now) || !upstream.keeps(now, wish);
+        match is_fallback {
+            true => candidates.fallback.push(choice),
+            false => candidates.healthy.push(choice),
         }
-        if homes.healthy.len() == most {
+        if candidates.healthy.len() == most {
             break;
         }
     }
-    homes
+    candidates
 }
 
-/// The one of most worth; the first of those of the same worth. Where its wait can't be
-/// borne, another helps only an object that is asked for more than one upstream can bear:
-/// for others it would fetch the object and forget another, and be full next.
+/// Returns the candidate of highest utility, and the first in rank order among equals. If
+/// its wait is too long, another candidate is used only for an object whose requests are
+/// more than one upstream can serve. For any other object a further upstream would have to
+/// fetch the object and evict another one, and would be full next.
 fn best(ranked: Vec<Choice>, wish: &Wish<'_>) -> Result<Choice, NoRoom> {
-    let first = &ranked.first().ok_or_else(unreachable)?.expectation;
-    // A home that is late whatever it holds is none: another takes its place for long.
+    let first = &ranked.first().ok_or_else(no_candidates)?.expectation;
+    // A first home that misses the goal even for held objects does not count as a home:
+    // another upstream takes over its objects for a long time.
     let (first_wait, has_home) = (first.wait, !first.too_slow);
     let worth = |place: usize, choice: &Choice| {
         let is_replica = place > 0 && has_home && needs_replica(choice);
-        choice.expectation.worth - if is_replica { REPLICA } else { 0.0 }
+        choice.expectation.worth - if is_replica { REPLICA_COST } else { 0.0 }
     };
     let ranked = ranked.into_iter().enumerate();
     let ranked = ranked.map(|(place, choice)| (worth(place, &choice), choice));
     let mut ranked: Vec<(f64, Choice)> = ranked.collect();
-    // Stable, so that the order of the homes decides between equals.
+    // The sort is stable, so rank order decides between equals.
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut ranked = ranked.into_iter().map(|(_, choice)| choice);
-    let best = ranked.next().ok_or_else(unreachable)?;
-    let is_bearable = |choice: &Choice| is_bearable(choice.expectation.wait, wish);
-    if is_bearable(&best) {
+    let best = ranked.next().ok_or_else(no_candidates)?;
+    let is_acceptable = |choice: &Choice| is_acceptable(choice.expectation.wait, wish);
+    if is_acceptable(&best) {
         return Ok(best);
     }
-    let is_hot = best.expectation.object_share >= HOT;
-    let other = ranked.find(|choice| is_hot && is_bearable(choice));
+    let is_hot = best.expectation.object_share >= HOT_OBJECT_SHARE;
+    let other = ranked.find(|choice| is_hot && is_acceptable(choice));
     other.ok_or_else(|| NoRoom::full(first_wait))
 }
 
-/// Whether a home besides the first would have to fetch the object, as far as this host
-/// knows.
+/// Returns whether a candidate other than the first home would have to fetch the object, by
+/// what this host has sent there.
 fn needs_replica(choice: &Choice) -> bool {
     let standing = choice.expectation.standing;
     standing.is_some_and(|standing| standing.familiarity != Familiarity::Recent)
 }
 
-fn is_bearable(wait: Duration, wish: &Wish<'_>) -> bool {
-    wait <= wish.goal.mul_f64(WAIT_MOST * wish.urgency)
+fn is_acceptable(wait: Duration, wish: &Wish<'_>) -> bool {
+    wait <= wish.goal.mul_f64(MAX_WAIT_GOALS * wish.urgency)
 }
 
-fn unreachable() -> NoRoom {
+fn no_candidates() -> NoRoom {
     NoRoom::unreachable(Duration::ZERO)
 }
 
-/// The upstream as a home, where nothing stands against the request. One that had it
-/// already is none, nor is a cold one whose part of this host is used up.
-fn usable(upstream: &Arc<Upstream>, rank: usize, wish: &Wish<'_>, now: Instant) -> Option<Choice> {
+/// Returns the upstream as a candidate. `None` for an upstream that already received the
+/// request, or a cold one for which this host's quota is used up.
+fn candidate(
+    upstream: &Arc<Upstream>,
+    rank: usize,
+    wish: &Wish<'_>,
+    now: Instant,
+) -> Option<Choice> {
     let hosts = wish.near_hosts.map_or(1, <[HostName]>::len);
     let load = upstream.load(now, hosts);
     let mut condition = upstream.condition();
     if wish.tried.contains(&upstream.report.id) {
         return None;
     }
-    let bears = wish.terms.and_then(|terms| terms.cold_per_s);
+    let limit_per_s = wish.terms.and_then(|terms| terms.cold_per_s);
     let cold = upstream.is_cold(now);
-    if let Some(bears) = bears.filter(|_| cold) {
-        let most = (wish.cold_bound)(bears);
+    if let Some(limit_per_s) = limit_per_s.filter(|_| cold) {
+        let most = (wish.cold_bound)(limit_per_s);
         let share = cold_share(most, &upstream.report.id, wish.me, wish.near_hosts);
         if !condition.cold_part.has_room(now, share) {
             return None;
@@ -241,14 +259,14 @@
         familiarity: condition.holding.familiarity(now, wish.object),
         rank,
     });
-    let asked_per_s = condition.holding.per_s(now, wish.object) * hosts as f64;
-    let seen = Seen {
+    let object_requests_per_s = condition.holding.per_s(now, wish.object) * hosts as f64;
+    let snapshot = UpstreamSnapshot {
         load,
         slots: f64::from(upstream.report.slots),
         standing,
         cold,
         speed: condition.speed.times(now),
-        asked_per_s,
+        object_requests_per_s,
     };
     Some(Choice {
         upstream: Arc::clone(upstream),
@@ -256,7 +274,7 @@
         load,
         load_age: condition.load_age(now),
         cold,
-        expectation: expect(wish, &seen),
+        expectation: predict(wish, &snapshot),
         connections: wish.terms.map(|terms| terms.connections),
         passed_over: Vec::new(),
         has_token: false,
--- a/crates/steering/src/route/customer.rs
+++ b/crates/steering/src/route/customer.rs
@@ -1,4 +1,4 @@
-//! Whose requests are served, and on what terms.
+//! Customers, and the authentication of their requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,70 +12,70 @@
 /// A customer of the operator's services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name, which upstreams are told.
+    /// Name, which is sent to upstreams.
     pub name: CustomerName,
-    /// Keys that its requests carry; no other customer has any of them.
+    /// Hashes of the API keys of its requests; no other customer has any of them.
     pub keys: Vec<KeyHash>,
-    /// Rank of its requests, before the rank of the route; 0 is the most urgent. None where
-    /// the route's holds.
+    /// Priority of its requests, which overrides the route's; 0 is the most urgent. `None`
+    /// if the route's priority applies.
     pub priority: Option<u32>,
-    /// Requests that it may make; none where it may make any number.
+    /// Limit on its requests; `None` if unlimited.
     pub allowance: Option<Allowance>,
-    /// Regions that alone may serve it; empty where all may.
+    /// The only regions that may serve it; empty if all may.
     pub home_regions: Vec<RegionName>,
 }
 
-/// Requests that a customer may make, over all hosts together.
+/// Limit on a customer's requests over all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// In a second, in the long run; positive.
+    /// Sustained requests per second; positive.
     pub per_s: f64,
-    /// At once besides; not negative.
+    /// Requests allowed in a burst above that rate; not negative.
     pub burst: f64,
 }
 
 impl Customer {
-    /// Whether its requests may run in a region.
+    /// Returns whether its requests may run in a region.
     pub fn may_run_in(&self, region: &str) -> bool {
         allow(&self.home_regions, region)
     }
 }
 
-/// What a request says of who sends it.
+/// Credentials found in a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Credentials {
-    /// Nothing.
+    /// No credentials.
     None,
-    /// A key.
+    /// The hash of an API key.
     Key(KeyHash),
-    /// Something that is no key: another scheme, or nothing behind it.
+    /// Credentials that are not an API key: another scheme, or an empty value.
     NoKey,
-    /// More than one thing.
+    /// More than one credential.
     Several,
 }
 
-/// Who a request is from.
+/// The authenticated sender of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Sender {
-    /// No customers are in force: nobody asks.
+    /// The document has no customers, so requests are not authenticated.
     Anyone,
-    /// The route is open to all.
+    /// The route is public.
     Public,
-    /// A customer.
+    /// The request belongs to a customer.
     Customer(Arc<Customer>),
 }
 
-/// Why a request's sender is not served.
+/// Why a request's sender is not authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAccess {
-    /// It presents no key that is in force.
+    /// The request has no valid API key.
     UnknownKey,
-    /// What it presents can't be read in one way only.
+    /// The request has several credentials, so its sender is ambiguous.
     Ambiguous,
 }
 
 impl Sender {
-    /// The customer, where it is one.
+    /// Returns the customer; `None` for other senders.
     pub fn customer(&self) -> Option<&Arc<Customer>> {
         match self {
             Sender::Customer(customer) => Some(customer),
@@ -83,20 +83,20 @@
         }
     }
 
-    /// The customer, where it is one with an allowance.
+    /// Returns the customer if it has an allowance.
     pub fn bounded(&self) -> Option<&Arc<Customer>> {
         let customer = self.customer();
         customer.filter(|customer| customer.allowance.is_some())
     }
 
-    /// Whether its requests may run in a region.
+    /// Returns whether the sender's requests may run in a region.
     pub fn may_run_in(&self, region: &str) -> bool {
         let customer = self.customer();
         customer.is_none_or(|customer| customer.may_run_in(region))
     }
 }
 
-/// The customers of a document by their keys.
+/// Customers of a document by key and by name.
 #[derive(Debug, Default)]
 pub struct CustomerTable {
     by_key: HashMap<KeyHash, Arc<Customer>>,
@@ -104,7 +104,7 @@
 }
 
 impl CustomerTable {
-    /// The table of a document's customers.
+    /// Creates the table of a document's customers.
     pub fn new(customers: &[Customer]) -> Self {
         let mut by_key = HashMap::new();
         let mut by_name = HashMap::new();
@@ -118,27 +118,29 @@
         CustomerTable { by_key, by_name }
     }
 
-    /// Whether requests need no key at all.
+    /// Returns whether requests need no API key at all.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// A customer by its name.
+    /// Returns a customer by name.
     pub fn find(&self, name: &str) -> Option<&Arc<Customer>> {
         self.by_name.get(name)
     }
 
-    /// Whether any customer has an allowance.
+    /// Returns whether any customer has an allowance.
     pub fn has_allowances(&self) -> bool {
         let mut customers = self.by_name.values();
         customers.any(|customer| customer.allowance.is_some())
     }
 
-    /// Whose request it is. A request to a public route is nobody's, whatever it carries.
+    /// Authenticates a request. A request to a public route belongs to no customer,
+    /// whatever credentials it has.
     ///
     /// # Errors
     ///
-    /// Its route is not public, and it has no key that is in force.
+    /// The route is not public, and the request does not have exactly one credential that
+    /// is a valid API key.
     pub fn recognise(
         &self,
         public: bool,
--- a/crates/steering/src/route/document.rs
+++ b/crates/steering/src/route/document.rs
@@ -1,4 +1,4 @@
-//! What an operator says of routes and services.
+//! The operator's document of routes, services and customers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,37 +8,37 @@
 use super::customer::Customer;
 use crate::ids::{RegionName, RuleName, ServiceName};
 
-/// A whole set of routes, as one version of it.
+/// One version of the whole configuration of routes, services and customers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteDocument {
-    /// Rises with each document; a lower one never replaces a higher one.
+    /// Increases with each document; a lower version never replaces a higher one.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Every route; no two have the same domain and prefix.
+    /// All routes; no two have the same domain and prefix.
     pub routes: Vec<Route>,
-    /// Customers; where there are none, requests need no key.
+    /// Customers; if empty, requests need no API key.
     #[serde(default)]
     pub customers: Vec<Customer>,
-    /// The services that routes name.
+    /// Settings of the services to which routes refer.
     pub services: BTreeMap<ServiceName, ServiceTerms>,
 }
 
-/// Bounds on what a caller may send, and how slowly.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Longest time in which a head arrives.
+    /// Maximum time for the arrival of a request's head.
     pub head_timeout: Duration,
-    /// Longest time for which a connection may rest between requests.
+    /// Maximum time for which a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until an operator's document says otherwise.
+    /// Limits that apply until the first document is read.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
@@ -49,64 +49,64 @@
     }
 }
 
-/// Where requests for a domain and a path prefix go.
+/// Destination of the requests for a domain and a path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route, unique in the document.
     pub name: RuleName,
-    /// Domain that the request names in its `Host` header, in lower case.
+    /// Domain in the request's `Host` header, in lower case.
     pub domain: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Whether upstreams that have lately seen a request's object do its work faster.
+    /// Whether upstreams that recently worked on a request's object do its work faster.
     pub by_object: bool,
-    /// Whether its requests need no key, though there are customers.
+    /// Whether requests need no API key even if there are customers.
     pub public: bool,
-    /// Rank of its requests; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Time within which an answer is worth all that it can be worth.
+    /// Response time up to which an answer has its full utility.
     pub goal: Duration,
-    /// Longest time that a request may take here, where the operator bounds it.
+    /// Maximum time that a request may take; `None` if the operator sets no limit.
     pub timeout: Option<Duration>,
-    /// Most upstreams that one request may be sent to; at least 1.
+    /// Maximum number of upstreams that one request may be sent to; at least 1.
     pub attempts: u32,
-    /// Services that share its requests; never empty.
+    /// Services among which requests are distributed; never empty.
     pub parts: Vec<Part>,
-    /// Regions that alone may serve it; empty where all may.
+    /// The only regions that may serve requests; empty if all may.
     pub home_regions: Vec<RegionName>,
 }
 
 impl Route {
-    /// Whether its requests may run in a region.
+    /// Returns whether requests of the route may run in a region.
     pub fn may_run_in(&self, region: &str) -> bool {
         allow(&self.home_regions, region)
     }
 }
 
-/// Whether home regions allow a region; none allow all.
+/// Returns whether the home regions include a region; an empty list includes all.
 pub(super) fn allow(home_regions: &[RegionName], region: &str) -> bool {
     home_regions.is_empty() || home_regions.iter().any(|home| home == region)
 }
 
-/// A service's share in a route.
+/// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share relative to the route's other parts; not negative.
+    /// Weight relative to the route's other services; not negative.
     pub weight: f64,
 }
 
-/// What an operator says of a service.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceTerms {
-    /// Most connections to one upstream from all hosts together.
+    /// Maximum number of connections to one upstream from all hosts together.
     pub connections: u32,
-    /// Time for which an upstream counts as cold after its start.
+    /// Time after its start for which an upstream counts as cold.
     pub warm_up: Duration,
-    /// Requests a second that a cold upstream bears, from all hosts together; none where
-    /// the operator sets no bound.
+    /// Requests per second that a cold upstream may receive from all hosts together; `None`
+    /// if the operator sets no limit.
     pub cold_per_s: Option<f64>,
 }
--- a/crates/steering/src/route/document_change.rs
+++ b/crates/steering/src/route/document_change.rs
@@ -1,4 +1,4 @@
-//! What one document changes in another.
+//! Differences between two versions of the document.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,33 +8,34 @@
 use super::document::{CallerLimits, Route, RouteDocument, ServiceTerms};
 use crate::ids::{CustomerName, ServiceName};
 
-/// Domain and prefix of a route; no two routes of a document have the same.
-type RoutePlace = (String, String);
+/// Domain and prefix of a route, which are unique within a document.
+type RouteKey = (String, String);
 
-/// A document in terms of an earlier one. It is as large as what has changed, however
-/// many routes there are.
+/// A document as a difference from an earlier one. Its size depends on the changes and not
+/// on the number of routes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DocumentChange {
-    /// Version that it changes; it is of use to no other.
+    /// Version to which the change applies; it applies to no other.
     base: u64,
     version: u64,
     limits: CallerLimits,
-    /// Routes that are new, or that have changed.
+    /// Routes that are new or have changed.
     routes: Vec<Route>,
-    dropped_routes: Vec<RoutePlace>,
-    /// Services that are new, or that have changed.
+    dropped_routes: Vec<RouteKey>,
+    /// Services that are new or have changed.
     services: BTreeMap<ServiceName, ServiceTerms>,
     dropped_services: BTreeSet<ServiceName>,
-    /// Customers that are new, or that have changed.
+    /// Customers that are new or have changed.
     customers: Vec<Customer>,
     dropped_customers: BTreeSet<CustomerName>,
 }
 
 impl DocumentChange {
-    /// What `newer` changes in `base`.
+    /// Returns the changes from `base` to `newer`.
     pub fn between(base: &RouteDocument, newer: &RouteDocument) -> Self {
-        let mut before: HashMap<RoutePlace, &Route> = places(base).collect();
-        let routes = places(newer).filter(|(place, route)| before.remove(place) != Some(route));
+        let mut base_routes: HashMap<RouteKey, &Route> = routes_by_key(base).collect();
+        let routes = routes_by_key(newer)
+            .filter(|(route_key, route)| base_routes.remove(route_key) != Some(route));
         let routes = routes.map(|(_, route)| route.clone()).collect();
         let services = newer.services.iter();
         let changed = services.filter(|(name, terms)| base.services.get(*name) != Some(terms));
@@ -48,7 +49,7 @@
             version: newer.version,
             limits: newer.limits,
             routes,
-            dropped_routes: before.into_keys().collect(),
+            dropped_routes: base_routes.into_keys().collect(),
             services: changed
                 .map(|(n, terms)| (n.clone(), terms.clone()))
                 .collect(),
@@ -58,16 +59,17 @@
         }
     }
 
-    /// The newer document; none where `base` is not the one that it changes.
+    /// Returns the newer document; `None` if `base` is not the version to which the change
+    /// applies.
     pub fn apply(&self, base: &RouteDocument) -> Option<RouteDocument> {
         if base.version != self.base {
             return None;
         }
-        let mut routes: BTreeMap<RoutePlace, &Route> = places(base).collect();
-        for place in &self.dropped_routes {
-            routes.remove(place);
+        let mut routes: BTreeMap<RouteKey, &Route> = routes_by_key(base).collect();
+        for route_key in &self.dropped_routes {
+            routes.remove(route_key);
         }
-        routes.extend(self.routes.iter().map(|route| (place(route), route)));
+        routes.extend(self.routes.iter().map(|route| (route_key(route), route)));
         let mut services = base.services.clone();
         services.retain(|name, _| !self.dropped_services.contains(name));
         services.extend(self.services.clone());
@@ -91,10 +93,13 @@
         .collect()
 }
 
-fn places(document: &RouteDocument) -> impl Iterator<Item = (RoutePlace, &Route)> {
-    document.routes.iter().map(|route| (place(route), route))
+fn routes_by_key(document: &RouteDocument) -> impl Iterator<Item = (RouteKey, &Route)> {
+    document
+        .routes
+        .iter()
+        .map(|route| (route_key(route), route))
 }
 
-fn place(route: &Route) -> RoutePlace {
+fn route_key(route: &Route) -> RouteKey {
     (route.domain.clone(), route.prefix.clone())
 }
--- a/crates/steering/src/route/fate.rs
+++ b/crates/steering/src/route/fate.rs
@@ -1,29 +1,29 @@
-//! What becomes of a request after a send that brought no answer to pass on.
+//! Decides what follows a send that brought no answer for the caller.
 
-/// How far a send got.
+/// How far a send of a request got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sent {
-    /// Nothing of it left this host.
+    /// No byte of the request left this host.
     Not,
-    /// The upstream said that it did not run it, and will not.
+    /// The upstream stated that it did not run the request and will not run it.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Perhaps,
 }
 
-/// What is done next.
+/// Next step for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// It may be sent to another upstream.
+    /// The request may be sent to another upstream.
     SendAgain,
-    /// It is given up, and certainly has not run.
+    /// The request is abandoned and certainly has not run.
     NotRun,
-    /// It is given up, and may have run.
+    /// The request is abandoned and may have run.
     MayHaveRun,
 }
 
-/// Decides from all sends of a request so far. Work that may have run is sent again
-/// only where it is repeatable; "not run" is said only where no send may have run.
+/// Decides from all sends of a request so far. A request that may have run is sent again
+/// only if it is repeatable. "Not run" is reported only if no send may have run.
 pub fn after(sends: &[Sent], repeatable: bool, may_send_again: bool) -> Fate {
     let may_have_run = sends.contains(&Sent::Perhaps);
     if may_send_again && (repeatable || !may_have_run) {
--- a/crates/steering/src/route/feed.rs
+++ b/crates/steering/src/route/feed.rs
@@ -1,4 +1,5 @@
-//! What operators and upstreams say, as it comes from a store or from another host.
+//! Feeds of operators' documents, upstreams' reports and host rows, as received from the
+//! store or from another host.
 
 use std::time::Instant;
 
@@ -12,14 +13,14 @@
 use crate::ids::{HostName, ZoneName};
 use crate::membership::HostEntry;
 
-/// Place in a feed; rises with each change.
+/// Position in a feed; increases with each change.
 pub type FeedVersion = u64;
 
-/// Hash of all that a host has taken from a feed. Two hosts with the same digest have
-/// taken the same.
+/// Hash of all records that a host has applied from a feed. Two hosts with the same digest
+/// have applied the same records.
 pub type FeedDigest = u64;
 
-/// What a feed is about.
+/// Subject of a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum Feed {
     /// Operators' documents and evacuations.
@@ -33,67 +34,68 @@
     Hosts,
 }
 
-/// One thing that a feed says.
+/// A record of a feed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// A new document.
     Document(Box<RouteDocument>),
-    /// What a new document changes; passed on by hosts, never in a store.
+    /// Differences of a new document from the previous one. Hosts send it to each other;
+    /// the store never contains it.
     DocumentChange(Box<DocumentChange>),
-    /// A zone is to get no work, or may get it again.
+    /// The evacuation of a zone begins or ends.
     Evacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: ZoneName,
-        /// Whether it is to get none.
+        /// Whether the zone must get no work.
         wanted: bool,
     },
     /// An upstream's report.
     Upstream(ReportedUpstream),
-    /// An upstream's report is no longer there.
+    /// An upstream's report was removed.
     UpstreamGone(UpstreamId),
     /// A host's row.
     Host(HostEntry),
-    /// A host's row is no longer there.
+    /// A host's row was removed.
     HostGone(HostName),
-    /// The key that hosts prove to each other; never passed on by hosts.
+    /// The key with which hosts authenticate each other; hosts never send it to each other.
     PeerKey(Vec<u8>),
-    /// Something that can't be used; what it replaces stays in force.
+    /// A record that can't be used; the previous valid record stays in force.
     Unusable {
-        /// Where it stands.
+        /// Key of the record in the store.
         key: String,
-        /// Why.
+        /// Why the record can't be used.
         reason: String,
     },
 }
 
-/// Part of a feed, or all of it as of one moment.
+/// Changes of a feed, or a complete snapshot at one moment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Changes {
-    /// Whether these are all records, so that what is lacking is gone.
+    /// Whether these are all records, so that a missing record has been removed.
     pub whole: bool,
-    /// The records, in order.
+    /// Records in feed order.
     pub records: Vec<Record>,
-    /// Where to go on.
+    /// Version from which to continue.
     pub version: FeedVersion,
 }
 
-/// What one host has learned from a feed and passes on, so that not all ask the store.
+/// An update of a feed from one host to others, so that not every host polls the store.
 ///
-/// Only what has changed is told: most records repeat what is known. Whether nothing
-/// is missing shows in the digest.
+/// Only changes are sent, because most records repeat known ones. The digest shows whether
+/// the receiver misses any.
 #[derive(Debug, Clone, PartialEq)]
 pub struct News {
-    /// The feed.
+    /// Feed that the update belongs to.
     pub feed: Feed,
-    /// Place in the feed up to which the teller has come.
+    /// Version of the feed up to which the sender has applied changes.
     pub version: FeedVersion,
-    /// Digest of all that the teller has taken up to there.
+    /// Digest of all that the sender has applied up to `version`.
     pub digest: FeedDigest,
-    /// Since when the store has answered, as far as the teller knows.
+    /// Time for which the store has answered, as far as the sender knows.
     pub store: Answering,
-    /// When the store's answer on which this rests was true, by the own clock; never later
-    /// than that.
+    /// Time at which the underlying answer of the store was current, by the receiver's
+    /// clock. Never later than the actual time.
     pub as_of: Instant,
-    /// What has changed, in order.
+    /// Changed records in feed order.
     pub records: Vec<Record>,
 }
--- a/crates/steering/src/route/groups.rs
+++ b/crates/steering/src/route/groups.rs
@@ -1,36 +1,36 @@
-//! Hosts that are told together what one of them has learned.
+//! Groups of hosts that share the updates learned by one of them.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{RegionName, ZoneName};
 use crate::membership::HostEntry;
 
-/// Most hosts of a group that is larger than a zone. One host sends each of its group some
-/// four small messages a second.
-const GROUP_MOST: usize = 32;
+/// Maximum size of a group that is larger than a zone. One host sends each member of its
+/// group about four small messages per second.
+const MAX_GROUP_SIZE: usize = 32;
 
-/// Divides hosts into groups: all together where they are few, else those of a region, else
-/// those of a zone. The same on every host that knows the same hosts.
+/// Divides hosts into groups: a single group if they are few, else one per region, else one
+/// per zone. Hosts with the same list of hosts compute the same groups.
 pub fn groups<'a>(
     hosts: impl IntoIterator<Item = &'a HostEntry>,
     regions: &BTreeMap<ZoneName, RegionName>,
 ) -> Vec<Vec<&'a HostEntry>> {
     let all: Vec<&HostEntry> = hosts.into_iter().collect();
-    if all.len() <= GROUP_MOST {
+    if all.len() <= MAX_GROUP_SIZE {
         return vec![all];
     }
     let of_region = |host: &HostEntry| regions.get(&host.zone).cloned();
     let mut groups = Vec::new();
-    for region in split(all, of_region) {
-        match region.len() <= GROUP_MOST {
+    for region in split_by(all, of_region) {
+        match region.len() <= MAX_GROUP_SIZE {
             true => groups.push(region),
-            false => groups.extend(split(region, |host| host.zone.clone())),
+            false => groups.extend(split_by(region, |host| host.zone.clone())),
         }
     }
     groups
 }
 
-fn split<K: Ord>(
+fn split_by<K: Ord>(
     hosts: Vec<&HostEntry>,
     key: impl Fn(&HostEntry) -> K,
 ) -> impl Iterator<Item = Vec<&HostEntry>> {
--- a/crates/steering/src/route/health.rs
+++ b/crates/steering/src/route/health.rs
@@ -1,132 +1,135 @@
-//! What this host has learned of an upstream's health from its answers, or their absence.
+//! Tracks an upstream's health from its answers and from missing answers.
 
 use std::time::{Duration, Instant};
 
-use super::average::kept;
-
-/// Time for which an upstream is left alone after a failure; doubles with each.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// Doublings of that time, at most.
-const PAUSE_DOUBLINGS: u32 = 4;
-/// Broken answers in a row, with no whole one between, after which it counts as one that
-/// can't be reached: with half of the answers broken off, one run in sixteen is so long.
-const BROKEN_MOST: u32 = 4;
-/// Whole answers from which on misses can be told to be an exception.
-const KNOWN_FROM: f64 = 4.0;
-/// Share of whole answers from which on a request that was missed is worth another try at
-/// the same upstream; the work of another, which would have to fetch the object, is late.
-const WHOLE_SHARE_LEAST: f64 = 0.3;
-/// Time after which an answer counts a third in these.
-const COUNTED_OVER: Duration = Duration::from_secs(5);
-
-/// How a request ended, as far as it tells of the upstream.
+use super::average::decay;
+
+/// Initial ejection time of an upstream after a failure; doubles with each further failure.
+const EJECTION_BASE: Duration = Duration::from_millis(500);
+/// Maximum number of doublings of the ejection time.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Consecutive broken answers, without a complete one between them, after which an upstream
+/// counts as unreachable. If half of the answers break off, one run in sixteen is this
+/// long.
+const MAX_CONSECUTIVE_BROKEN: u32 = 4;
+/// Minimum number of complete answers needed to judge whether misses are an exception.
+const MIN_COMPLETE_ANSWERS: f64 = 4.0;
+/// Minimum share of complete answers at which a missed request is worth a retry on the same
+/// upstream. Another upstream would have to fetch the object and would answer late.
+const MIN_COMPLETE_SHARE: f64 = 0.3;
+/// Time constant for the decay of these counts: after this time an answer counts a third.
+const COUNT_TIME_CONSTANT: Duration = Duration::from_secs(5);
+
+/// Result of a request, as evidence of the upstream's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answered {
-    /// An answer came.
+    /// A complete answer arrived.
     Whole,
-    /// It said that it is full or not the one that was meant; it lives.
+    /// The upstream answered that it is full or not the one addressed. It is alive.
     Refused,
-    /// It could not be reached.
+    /// The upstream could not be reached.
     Failed,
-    /// It was reached, and no answer came, or nothing that is one.
+    /// The connection was made, but no answer or no valid one arrived.
     Broken,
-    /// The caller left, or the time was over: nothing is learned.
+    /// The caller left or the deadline passed: no evidence.
     Unknown,
 }
 
 impl Answered {
-    /// Whether it shows that the upstream lives.
+    /// Returns whether the result proves that the upstream is alive.
     pub fn shows_life(self) -> bool {
         matches!(self, Answered::Whole | Answered::Refused)
     }
 }
 
-/// A count in which older events fade.
+/// Count of events with exponential decay.
 #[derive(Debug, Default)]
-struct Faded {
+struct DecayingCount {
     count: f64,
     at: Option<Instant>,
 }
 
-impl Faded {
+impl DecayingCount {
     fn add(&mut self, now: Instant) {
         self.count = self.count(now) + 1.0;
         self.at = Some(now);
     }
 
     fn count(&self, now: Instant) -> f64 {
-        let kept = self.at.map_or(0.0, |at| kept(at, now, COUNTED_OVER));
-        self.count * kept
+        let remaining = self
+            .at
+            .map_or(0.0, |at| decay(at, now, COUNT_TIME_CONSTANT));
+        self.count * remaining
     }
 }
 
-/// How an upstream's answers have ended lately. Any answer that shows that it lives ends
-/// what was held against it.
+/// Recent results of an upstream's requests. Any result that proves it alive ends an
+/// ejection.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     failures: u32,
-    /// Answers in a row that were broken off.
-    broken: u32,
-    /// Whole answers lately.
-    whole: Faded,
-    /// Requests lately that it refused or broke off.
-    missed: Faded,
-    paused_until: Option<Instant>,
+    /// Consecutive answers that broke off.
+    consecutive_broken: u32,
+    /// Recent complete answers.
+    complete: DecayingCount,
+    /// Recent requests that the upstream refused or broke off.
+    missed: DecayingCount,
+    ejected_until: Option<Instant>,
 }
 
 impl Health {
-    /// Takes how a request ended.
+    /// Records the result of a request.
     pub fn take(&mut self, now: Instant, answered: Answered) {
         match answered {
             Answered::Whole => {
-                self.whole.add(now);
-                self.lives();
+                self.complete.add(now);
+                self.record_alive();
             }
             Answered::Refused => {
                 self.missed.add(now);
-                self.lives();
+                self.record_alive();
             }
-            Answered::Failed => self.failed(now),
-            Answered::Broken => self.broke(now),
+            Answered::Failed => self.record_failure(now),
+            Answered::Broken => self.record_broken(now),
             Answered::Unknown => {}
         }
     }
 
-    /// Whether it is left alone after failures.
-    pub fn is_paused(&self, now: Instant) -> bool {
-        self.paused_until.is_some_and(|until| until > now)
+    /// Returns whether the upstream is ejected after failures.
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| until > now)
     }
 
-    /// Whether a request that it refused or broke off may be sent to it once more: such
-    /// misses are an exception there, and it holds the object.
+    /// Returns whether a request that the upstream refused or broke off may be sent there
+    /// again: misses are an exception there, and the upstream holds the object.
     pub fn may_be_asked_again(&self, now: Instant) -> bool {
-        let (whole, missed) = (self.whole.count(now), self.missed.count(now));
-        whole >= KNOWN_FROM && whole >= (whole + missed) * WHOLE_SHARE_LEAST
+        let (complete, missed) = (self.complete.count(now), self.missed.count(now));
+        complete >= MIN_COMPLETE_ANSWERS && complete >= (complete + missed) * MIN_COMPLETE_SHARE
     }
 
-    fn lives(&mut self) {
+    fn record_alive(&mut self) {
         self.failures = 0;
-        self.broken = 0;
-        self.paused_until = None;
+        self.consecutive_broken = 0;
+        self.ejected_until = None;
     }
 
-    /// One that breaks off some answers still holds its objects, and serves most work on
-    /// them sooner than another could.
-    fn broke(&mut self, now: Instant) {
+    /// An upstream that breaks off some answers still holds its objects and serves most
+    /// work on them sooner than another upstream could, so it is not ejected at once.
+    fn record_broken(&mut self, now: Instant) {
         self.missed.add(now);
-        self.broken += 1;
-        if self.broken >= BROKEN_MOST {
-            self.failed(now);
+        self.consecutive_broken += 1;
+        if self.consecutive_broken >= MAX_CONSECUTIVE_BROKEN {
+            self.record_failure(now);
         }
     }
 
-    fn failed(&mut self, now: Instant) {
-        self.paused_until = Some(now + pause(self.failures));
+    fn record_failure(&mut self, now: Instant) {
+        self.ejected_until = Some(now + ejection_time(self.failures));
         self.failures += 1;
     }
 }
 
-/// Time for which one that has failed `failures` times before is left alone.
-pub(super) fn pause(failures: u32) -> Duration {
-    PAUSE_AFTER_FAILURE * 2u32.pow(failures.min(PAUSE_DOUBLINGS))
+/// Returns the ejection time of an upstream that has failed `failures` times before.
+pub(super) fn ejection_time(failures: u32) -> Duration {
+    EJECTION_BASE * 2u32.pow(failures.min(MAX_EJECTION_DOUBLINGS))
 }
--- a/crates/steering/src/route/holding.rs
+++ b/crates/steering/src/route/holding.rs
@@ -1,19 +1,20 @@
-//! Objects that an upstream was lately sent work on.
+//! Records the objects on which this host recently sent work to an upstream.
 
 use std::num::NonZeroUsize;
 use std::time::{Duration, Instant};
 
 use lru::LruCache;
 
-use super::average::kept;
+use super::average::decay;
 use super::estimate::Familiarity;
 
-/// Objects remembered for an upstream, the latest ones: upstreams hold some tens.
-const REMEMBERED: NonZeroUsize = NonZeroUsize::new(128).expect("it is not zero");
-/// Time within which an object was sent a moment ago.
+/// Number of objects remembered per upstream, most recent first; upstreams hold some tens
+/// of objects.
+const MAX_OBJECTS: NonZeroUsize = NonZeroUsize::new(128).expect("it is not zero");
+/// Time for which a sent object counts as recent.
 const RECENT: Duration = Duration::from_secs(5);
-/// Time over which the rate of an object's requests is averaged.
-const RATE_OVER: Duration = Duration::from_secs(2);
+/// Time constant for the rate of an object's requests.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Objects by this host's own sends to one upstream.
 #[derive(Debug)]
@@ -21,43 +22,45 @@
     sent: LruCache<u64, Sends>,
 }
 
-/// Sends of one object.
+/// Sends for one object.
 #[derive(Debug, Clone, Copy)]
 struct Sends {
     last: Instant,
-    /// Average at the last of them.
+    /// Average rate at the last send.
     per_s: f64,
 }
 
 impl Sends {
     fn per_s(&self, now: Instant) -> f64 {
-        self.per_s * kept(self.last, now, RATE_OVER)
+        self.per_s * decay(self.last, now, RATE_TIME_CONSTANT)
     }
 }
 
 impl Default for Holding {
     fn default() -> Self {
-        // Grows as it is filled: most upstreams of a large deployment get few objects.
+        // The cache starts small and grows on demand: most upstreams of a large deployment
+        // receive few objects.
         let mut sent = LruCache::unbounded();
-        sent.resize(REMEMBERED);
+        sent.resize(MAX_OBJECTS);
         Holding { sent }
     }
 }
 
 impl Holding {
-    /// Notes that work on an object is sent.
+    /// Records that work on an object is sent.
     pub fn sent(&mut self, now: Instant, object: u64) {
-        let per_s = self.per_s(now, object) + 1.0 / RATE_OVER.as_secs_f64();
+        let per_s = self.per_s(now, object) + 1.0 / RATE_TIME_CONSTANT.as_secs_f64();
         self.sent.put(object, Sends { last: now, per_s });
     }
 
-    /// Requests a second on an object that this host has lately sent there.
+    /// Returns the rate at which this host recently sent requests on an object to the
+    /// upstream.
     pub fn per_s(&self, now: Instant, object: u64) -> f64 {
         let sends = self.sent.peek(&object);
         sends.map_or(0.0, |sends| sends.per_s(now))
     }
 
-    /// What is known of an object.
+    /// Returns how recently work on an object was sent to the upstream.
     pub fn familiarity(&self, now: Instant, object: u64) -> Familiarity {
         match self.sent.peek(&object) {
             Some(sends) if now.saturating_duration_since(sends.last) < RECENT => {
--- a/crates/steering/src/route/host_list.rs
+++ b/crates/steering/src/route/host_list.rs
@@ -1,4 +1,4 @@
-//! The store's list of hosts, as this host knows it.
+//! The store's list of hosts, as known to this host.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,13 +16,14 @@
 }
 
 impl HostList {
-    /// Takes a part of the feed in its order, or all of it; says what has changed.
+    /// Applies changes of the feed in order, or a complete snapshot, and returns what has
+    /// changed.
     pub fn take(&mut self, changes: &Changes) -> Vec<Record> {
         self.is_read |= changes.whole;
-        let mut news = Vec::new();
-        for name in self.lacking(changes) {
+        let mut changed_records = Vec::new();
+        for name in self.missing_from(changes) {
             self.rows.remove(&name);
-            news.push(Record::HostGone(name));
+            changed_records.push(Record::HostGone(name));
         }
         for record in &changes.records {
             let changed = match record {
@@ -31,10 +32,10 @@
                 _ => false,
             };
             if changed {
-                news.push(record.clone());
+                changed_records.push(record.clone());
             }
         }
-        news
+        changed_records
     }
 
     fn put(&mut self, entry: &HostEntry) -> bool {
@@ -42,8 +43,8 @@
         before.as_ref() != Some(entry)
     }
 
-    /// Hosts that a whole feed no longer has.
-    fn lacking(&self, changes: &Changes) -> Vec<HostName> {
+    /// Returns the hosts that are missing in a complete snapshot.
+    fn missing_from(&self, changes: &Changes) -> Vec<HostName> {
         if !changes.whole {
             return Vec::new();
         }
@@ -59,27 +60,27 @@
             .collect()
     }
 
-    /// Whether it has been read whole.
+    /// Returns whether a complete snapshot has been read.
     pub fn is_read(&self) -> bool {
         self.is_read
     }
 
-    /// Whether a host of this name is in it.
+    /// Returns whether the list has a host of this name.
     pub fn has(&self, name: &str) -> bool {
         self.rows.contains_key(name)
     }
 
-    /// Whether this very row is in it.
+    /// Returns whether the list has this host with identical addresses and zone.
     pub fn lists(&self, entry: &HostEntry) -> bool {
         self.rows.get(&entry.name) == Some(entry)
     }
 
-    /// Every row.
+    /// Returns all rows.
     pub fn rows(&self) -> impl Iterator<Item = &HostEntry> + Clone {
         self.rows.values()
     }
 
-    /// Digest of the rows, the same wherever they were learned.
+    /// Returns the digest of the rows, the same whichever way they were learned.
     pub fn digest(&self) -> FeedDigest {
         self.rows
             .values()
--- a/crates/steering/src/route/host_message.rs
+++ b/crates/steering/src/route/host_message.rs
@@ -1,4 +1,4 @@
-//! What one host asks or tells another about what all hosts keep together.
+//! Messages between hosts about state that all hosts share.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,31 +7,33 @@
 use super::suspect::{WorkDigest, WorkNews, WorkState};
 use crate::ids::CustomerName;
 
-/// A question, or news.
+/// A request or an update to another host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HostMessage {
-    /// To the host of a pool of allowances.
+    /// Request to the host that holds a pool of allowances.
     Tokens(TokenAsk),
-    /// To a host nearby: tokens that requests wait for, by customer. They are spent at once.
+    /// Request to a nearby host for the tokens that requests wait for, by customer. They
+    /// are spent at once.
     Spare(Vec<(CustomerName, u32)>),
-    /// To a host that holds a part of an upstream's limit.
+    /// Request to a host that holds a share of an upstream's rate limit.
     Limit(LimitAsk),
-    /// To all hosts: what is learned of work under which upstreams end.
+    /// Update to all hosts about requests that crash upstreams.
     Works(Vec<WorkNews>),
-    /// To another host: what this one may have missed of such work, by the digest of what it
-    /// knows.
+    /// Request for the updates about such requests that the sender may have missed, with a
+    /// digest of what it knows.
     MissedWorks(WorkDigest),
 }
 
-/// The answer.
+/// Answer to a [`HostMessage`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostReply {
-    /// To a question about tokens.
+    /// Answer to a request for tokens.
     Tokens(TokenReply),
-    /// Whether a request may be sent to an upstream that names a limit.
+    /// Whether a request may be sent to an upstream that declares a rate limit.
     Limit(LimitReply),
-    /// What the host knows of work that is refused, or was; empty where it knows the same.
+    /// What the host knows about requests that are or were refused; empty if the sender
+    /// knows the same.
     Works(Vec<WorkState>),
-    /// News were taken.
+    /// The update was applied.
     Taken,
 }
--- a/crates/steering/src/route/lead.rs
+++ b/crates/steering/src/route/lead.rs
@@ -1,4 +1,4 @@
-//! Which host of a group asks the store for all.
+//! Decides which host of a group polls the store for a feed on behalf of the others.
 
 use std::time::{Duration, Instant};
 
@@ -7,51 +7,51 @@
 use crate::ids::HostName;
 use crate::rendezvous;
 
-/// Hosts that one host of a group gives all that it knows when all start at once. With 4 a
-/// zone of 40 is through in three steps; each host then sends four times some 70 KB, which
-/// takes 0.1 s on a link of 20 Mbit/s.
+/// Number of hosts to which one host of a group sends its whole state when all start at
+/// once. With 4, a zone of 40 hosts is served in three steps. Each host then sends some 70
+/// KB four times, which takes 0.1 s on a link of 20 Mbit/s.
 const CHILDREN: usize = 4;
 
-/// A host's place in following one feed.
+/// A host's role in following one feed.
 ///
-/// No host is elected. Who knows nothing recent asks the store, and tells the others what
-/// it learns; who is told by a host that ranks before it only listens. So the first in
-/// rank that reaches the store ends up as the only one that asks, and where it vanishes
-/// the others ask within [`Lead::stale_after`].
+/// No host is elected. A host without recent knowledge polls the store and sends what it
+/// learns to the others. A host that receives updates from a higher-ranked host only
+/// listens. So the highest-ranked host that reaches the store ends up as the only one that
+/// polls. If this host vanishes, the others poll within [`Lead::stale_after`].
 ///
-/// A belief is as old as the store's answer that it rests on, however many hosts it passed
-/// and however long the messages took.
+/// Knowledge is as old as the store's answer that it is based on, however many hosts passed
+/// it on and however long the messages took.
 #[derive(Debug)]
 pub struct Lead {
     me: HostName,
     feed: String,
     timing: NewsTiming,
-    /// When what others have told to whom this host listens was true in the store, at the
-    /// earliest.
+    /// Time at which the updates from the hosts that this host listens to were current in
+    /// the store, at the earliest.
     told: Option<Instant>,
-    /// When what is known was true in the store, at the earliest; none before anything is
-    /// known.
+    /// Time at which the known state was current in the store, at the earliest; `None`
+    /// before anything is known.
     as_of: Option<Instant>,
-    /// Whether this host's last question to the store was answered, as far as any was.
+    /// Whether the store answered this host's last poll; true before the first one.
     reaches_store: bool,
-    /// Whether something is missing between what is known and what was told.
+    /// Whether changes are missing between the known state and the last update.
     gap: bool,
 }
 
-/// What to do with news of a feed.
+/// How to handle an update of a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Use {
-    /// They go beyond what is known.
+    /// The update is newer than the known state.
     Take,
-    /// Nothing in them is newer than what is known.
+    /// The update contains nothing newer than the known state.
     Known,
-    /// Something else is missing.
+    /// Changes before the update are missing.
     Gap,
 }
 
 impl Lead {
-    /// A host that has been told nothing yet. `tightest` is the shortest time in which
-    /// what the feed says must be heeded.
+    /// Creates the role of a host that has received nothing yet. `tightest` is the shortest
+    /// time within which a change of the feed must take effect.
     pub fn new(me: &str, feed: &str, tightest: Duration) -> Self {
         Lead {
             me: me.to_owned(),
@@ -64,74 +64,77 @@
         }
     }
 
-    /// Changes the shortest time in which what the feed says must be heeded.
+    /// Changes the shortest time within which a change of the feed must take effect.
     pub fn set_tightest(&mut self, tightest: Duration) {
         self.timing.tightest = tightest;
     }
 
-    /// Age of what is known at which this host asks for itself.
+    /// Returns the age of the known state at which this host polls the store itself.
     pub fn stale_after(&self) -> Duration {
         self.timing.stale_after()
     }
 
-    /// Time between two questions.
+    /// Returns the time between two polls.
     pub fn pace(&self) -> Duration {
         self.timing.pace()
     }
 
-    /// Time for which a question waits for news.
+    /// Returns the time for which a poll waits for changes (long polling).
     pub fn wait(&self) -> Duration {
         self.timing.wait()
     }
 
-    /// Time for which it need not ask; zero where it must.
+    /// Returns the time for which this host need not poll the store; zero if it must.
     pub fn rests(&self, now: Instant) -> Duration {
         match self.gap {
             true => Duration::ZERO,
             false => self
-                .listens_for(now)
+                .listen_time(now)
                 .min(self.fresh_for(now).unwrap_or_default()),
         }
     }
 
-    /// Time until what is known is too old to wait for others; none where nothing is known.
+    /// Returns the time until the known state is too old to wait for other hosts; `None` if
+    /// nothing is known.
     pub fn fresh_for(&self, now: Instant) -> Option<Duration> {
-        self.as_of.map(|as_of| self.until_stale(as_of, now))
+        self.as_of.map(|as_of| self.time_until_stale(as_of, now))
     }
 
-    /// Whether it tells others what it learns. A host that only fills a gap does not.
+    /// Returns whether this host sends what it learns to others. A host that only fills a
+    /// gap does not.
     pub fn tells(&self, now: Instant) -> bool {
-        self.listens_for(now).is_zero()
+        self.listen_time(now).is_zero()
     }
 
-    fn listens_for(&self, now: Instant) -> Duration {
-        let told = self.told.map(|as_of| self.until_stale(as_of, now));
+    fn listen_time(&self, now: Instant) -> Duration {
+        let told = self.told.map(|as_of| self.time_until_stale(as_of, now));
         told.unwrap_or_default()
     }
 
-    fn until_stale(&self, as_of: Instant, now: Instant) -> Duration {
+    fn time_until_stale(&self, as_of: Instant, now: Instant) -> Duration {
         let until = as_of + self.stale_after();
         until.saturating_duration_since(now)
     }
 
-    /// Time since what is known was true in the store, at the most; none before anything is
-    /// known.
+    /// Returns the maximum time since the known state was current in the store; `None`
+    /// before anything is known.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.as_of.map(|as_of| now.saturating_duration_since(as_of))
     }
 
-    /// When what is known was true in the store, at the earliest; none before anything is
-    /// known.
+    /// Returns the time at which the known state was current in the store, at the earliest;
+    /// `None` before anything is known.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
 
-    fn renew(&mut self, as_of: Instant) {
+    fn advance_as_of(&mut self, as_of: Instant) {
         self.as_of = self.as_of.max(Some(as_of));
     }
 
-    /// Notes that `from` has told something that was true in the store at `as_of`. This host
-    /// listens only to who ranks first; to any while it can't reach the store itself.
+    /// Records an update from the host `from` that was current in the store at `as_of`.
+    /// This host listens only to higher-ranked hosts, and to any host while it can't reach
+    /// the store itself.
     pub fn told(&mut self, from: &str, used: Use, as_of: Instant) {
         let first = rendezvous::owner(&self.feed, [self.me.as_str(), from]);
         if first == Some(from) || !self.reaches_store {
@@ -139,43 +142,43 @@
         }
         match used {
             Use::Gap => self.gap = true,
-            Use::Take | Use::Known => self.renew(as_of),
+            Use::Take | Use::Known => self.advance_as_of(as_of),
         }
     }
 
-    /// Notes that all was learned from another host, as it was in the store at `as_of`;
-    /// others are expected to tell more.
+    /// Records that the whole state as of `as_of` was received from another host, from
+    /// which further updates are expected.
     pub fn learned(&mut self, as_of: Instant) {
         self.told = self.told.max(Some(as_of));
         self.filled(as_of);
     }
 
-    /// Notes that it has asked the store, so that nothing is missing any more.
+    /// Records that the store answered a poll, so that no changes are missing any more.
     pub fn asked(&mut self, as_of: Instant) {
         self.reaches_store = true;
         self.filled(as_of);
     }
 
-    /// Notes that nothing is missing any more, without a question to the store.
+    /// Records that no changes are missing any more, without a poll of the store.
     pub fn filled(&mut self, as_of: Instant) {
         self.gap = false;
-        self.renew(as_of);
+        self.advance_as_of(as_of);
     }
 
-    /// Whether this host's last question to the store was answered, as far as any was.
+    /// Returns whether the store answered this host's last poll; true before the first one.
     pub fn reaches_store(&self) -> bool {
         self.reaches_store
     }
 
-    /// Notes that the store gave no answer.
+    /// Records that the store gave no answer.
     pub fn failed(&mut self) {
         self.reaches_store = false;
     }
 
-    /// Whom this host, which has started and knows nothing, asks in place of the store:
-    /// hosts of its group that rank before it, the nearest first; none where it ranks
-    /// first. They form a tree, so that all of a group can start at once and no host
-    /// answers more than [`CHILDREN`] others.
+    /// Returns the hosts that this host, just started and without any state, asks instead
+    /// of the store: hosts of its group that rank before it, the nearest first; none if
+    /// this host ranks first. These hosts form a tree, so that a whole group can start at
+    /// once and no host answers more than [`CHILDREN`] others.
     pub fn elders<'a>(&self, group: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
         let ranked = rendezvous::rank(&self.feed, group);
         let before =
@@ -192,8 +195,8 @@
         elders
     }
 
-    /// What to do with news up to `version`, where this host stands at `at`. A gap also
-    /// shows where the digests differ after the news are taken.
+    /// Decides how to handle an update up to `version` if this host is at version `at`. A
+    /// gap may also show later as different digests after the update is applied.
     pub fn judge(at: Option<FeedVersion>, version: FeedVersion) -> Use {
         match at {
             Some(at) if version <= at => Use::Known,
--- a/crates/steering/src/route/mod.rs
+++ b/crates/steering/src/route/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that find their service by domain and path, and their upstream by object.
+//! Routes requests to a service by domain and path, and to an upstream by object.
 //!
-//! The operator's document names routes and services; upstreams report themselves.
-//! Every host computes the same homes of an object from the same view, so that no
-//! message is needed to agree on them.
+//! The operator's document defines routes and services; upstreams register themselves.
+//! Every host computes the same homes of an object from the same view, so no message is
+//! needed to agree on them.
 
 mod allowance;
 mod average;
--- a/crates/steering/src/route/no_room.rs
+++ b/crates/steering/src/route/no_room.rs
@@ -1,4 +1,4 @@
-//! Why no upstream of a region takes a request now, and when one may.
+//! Reports why no upstream of a region takes a request, and when one may.
 
 use std::time::Duration;
 
@@ -6,50 +6,51 @@
 use super::view::Upstream;
 use crate::statement::Obstacle;
 
-/// Least time after which a refused caller should come back.
-const COME_BACK_LEAST: Duration = Duration::from_millis(100);
-/// Upstreams that are named as passed over for what they have said: enough to find them, and
-/// a bound on what a request holds.
-const NAMED_MOST: usize = 3;
+/// Minimum time after which a refused caller may retry.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
+/// Maximum number of skipped upstreams that are recorded: enough to identify them, with
+/// bounded memory per request.
+const MAX_RECORDED: usize = 3;
 
-/// What was lacking.
+/// Cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lack {
     /// No upstream can be reached.
     Reach,
-    /// All that can be reached have asked for rest, or are just back from it.
+    /// All reachable upstreams have asked for rest or have just finished one.
     Rest,
-    /// All that can be reached are at the limits that they name, or rest.
+    /// All reachable upstreams are at the rate limits that they declare, or rest.
     Limit,
-    /// All that take work are too full.
+    /// All upstreams that accept work are too full.
     Room,
 }
 
 /// No upstream can take the request now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoRoom {
-    /// What was lacking.
+    /// Cause of the refusal.
     pub lack: Lack,
-    /// When the caller may try again, at the earliest.
+    /// Minimum time after which the caller may retry.
     pub come_back: Duration,
-    /// Time over which callers that are refused together should come back after that.
+    /// Time span after that over which callers refused together should spread their
+    /// retries.
     pub spread: Duration,
-    /// Upstreams that it was not sent to for what they have said of themselves.
+    /// Upstreams skipped because of their own statements.
     pub passed_over: Vec<UpstreamId>,
 }
 
 impl NoRoom {
-    /// Where no upstream can be reached: the caller may come back after this time.
+    /// Refusal because no upstream can be reached; the caller may retry after this time.
     pub fn unreachable(come_back: Duration) -> Self {
         NoRoom {
             lack: Lack::Reach,
-            come_back: come_back.max(COME_BACK_LEAST),
+            come_back: come_back.max(MIN_RETRY_TIME),
             spread: Duration::ZERO,
             passed_over: Vec::new(),
         }
     }
 
-    /// Where a slot is free after `wait`.
+    /// Refusal because all upstreams are full until `wait` has passed.
     pub(super) fn full(wait: Duration) -> Self {
         NoRoom {
             lack: Lack::Room,
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Where the first rest ends after `rest`. The first answer after it decides, so that
-    /// callers come back from one usual time after its end on, over another.
+    /// Refusal because upstreams rest; the first rest ends after `rest`. The first answer
+    /// after a rest decides whether it is over, so callers retry one typical work time
+    /// after its end, spread over another one.
     pub(super) fn resting(rest: Duration, usual: Duration) -> Self {
         NoRoom {
             lack: Lack::Rest,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Where the next token of a limit comes.
+    /// Refusal because of a rate limit with this next token.
     pub(super) fn limited(next: NextToken) -> Self {
         NoRoom {
             lack: Lack::Limit,
@@ -76,39 +78,41 @@
         }
     }
 
-    /// Whether any upstream there lives. One that rests does: a rest of some seconds is no
-    /// lost region, which would move all its work at once.
+    /// Returns whether any upstream of the region is alive. A resting upstream is alive:
+    /// treating a rest of some seconds as a lost region would move all of the region's work
+    /// at once.
     pub fn is_reachable(&self) -> bool {
         self.lack != Lack::Reach
     }
 }
 
-/// Upstreams that a choice passed over for what they have said of themselves.
+/// Upstreams skipped by a selection because of their own statements.
 #[derive(Debug, Default)]
 pub(super) struct PassedOver {
-    /// The first ones, for the request's story.
+    /// The first skipped upstreams, for the trace of the request.
     pub named: Vec<UpstreamId>,
-    /// Shortest rest among the object's first homes that rest: callers on objects of unlike
-    /// upstreams so come back as the room of these returns.
+    /// Shortest rest among the object's first homes that rest. Callers with objects of
+    /// different upstreams thus retry as the room of these upstreams returns.
     pub rest: Option<Duration>,
     resting: usize,
-    /// Next token among these that are at the limits that they name.
+    /// Earliest next token among the object's first homes that are at their rate limits.
     pub limit: Option<NextToken>,
     limited: usize,
 }
 
-/// When a limit has its next token.
+/// Time of the next token of a rate limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NextToken {
     pub wait: Duration,
-    /// Time over which callers who are turned away together should come back after that.
+    /// Time span after that over which callers refused together should spread their
+    /// retries.
     pub spread: Duration,
 }
 
 impl PassedOver {
-    /// Notes one; `homes` are as many as an object has.
+    /// Records a skipped upstream; `homes` is the number of homes of an object.
     pub fn add(&mut self, upstream: &Upstream, obstacle: Obstacle, homes: usize) {
-        if self.named.len() < NAMED_MOST && obstacle.is_stated() {
+        if self.named.len() < MAX_RECORDED && obstacle.is_stated() {
             self.named.push(upstream.report.id.clone());
         }
         if let Obstacle::Limits(wait) = obstacle {
--- a/crates/steering/src/route/pace.rs
+++ b/crates/steering/src/route/pace.rs
@@ -1,7 +1,7 @@
-//! This host's parts of bounds that all hosts share.
+//! This host's share of limits that all hosts share.
 //!
-//! Each host takes a fixed part, sized by how many hosts there may be, so that the
-//! parts together never exceed the whole and no message is needed before a request.
+//! Each host uses a fixed share that depends on the number of hosts that may exist. The
+//! shares together never exceed the limit, and no message is needed before a request.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,16 +9,16 @@
 use crate::ids::HostName;
 use crate::rendezvous;
 
-/// Share of a bound that is used: what is sent in one window may arrive in another.
+/// Share of a limit that is used: requests sent in one window may arrive in another.
 const USED_SHARE: f64 = 0.85;
 /// Window over which a cold upstream's requests are counted.
 const COLD_WINDOW: Duration = Duration::from_millis(1_100);
 
-/// Times of events within a window.
+/// Times of events within a sliding window.
 #[derive(Debug, Default)]
-struct Recent(VecDeque<Instant>);
+struct EventWindow(VecDeque<Instant>);
 
-impl Recent {
+impl EventWindow {
     fn count(&mut self, now: Instant, window: Duration) -> usize {
         while self
             .0
@@ -35,18 +35,18 @@
     }
 }
 
-/// A host's part of a bound. While the hosts are not known it has none: after a restart
-/// of all each would take the whole.
-fn part(whole: f64, hosts: Option<usize>) -> f64 {
+/// Returns a host's share of a limit. The share is zero while the hosts are unknown: after
+/// a restart of all hosts each would otherwise use the whole limit.
+fn share_of(whole: f64, hosts: Option<usize>) -> f64 {
     hosts.map_or(0.0, |hosts| whole / hosts.max(1) as f64)
 }
 
-/// Requests that the host `me` may send to a cold upstream in a window, of the
-/// `most_per_s` that it may receive in a second. `hosts` are those that may send to it,
-/// `me` among them; none while they are not known.
+/// Returns the number of requests that the host `me` may send to a cold upstream in a
+/// window, given the `most_per_s` that the upstream may receive per second. `hosts` are the
+/// hosts that may send to it, `me` among them; `None` while they are unknown.
 ///
-/// Where there are more hosts than requests, each request goes to one host, by the
-/// upstream's own ranking.
+/// If there are more hosts than requests, each request is assigned to one host by the
+/// upstream's rendezvous ranking.
 pub fn cold_share(most_per_s: f64, upstream: &str, me: &str, hosts: Option<&[HostName]>) -> usize {
     let Some(hosts) = hosts else { return 0 };
     let most = (most_per_s * USED_SHARE).floor().max(0.0) as usize;
@@ -58,14 +58,14 @@
     usize::from(ranked.iter().take(most).any(|host| *host == me))
 }
 
-/// Requests that this host has sent to a cold upstream.
+/// Recent requests sent by this host to a cold upstream.
 #[derive(Debug, Default)]
 pub struct ColdPart {
-    sent: Recent,
+    sent: EventWindow,
 }
 
 impl ColdPart {
-    /// Whether one more fits into this host's share of a window.
+    /// Returns whether another request fits into this host's share of a window.
     pub fn has_room(&mut self, now: Instant, share: usize) -> bool {
         self.sent.count(now, COLD_WINDOW) < share
     }
@@ -76,34 +76,35 @@
     }
 }
 
-/// The part of repeats that this host may send to a service.
+/// This host's share of the retries allowed for a service.
 #[derive(Debug, Default)]
 pub struct RepeatPart {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     ratio: f64,
-    /// Repeats allowed besides, for all hosts together, in a window.
+    /// Additional retries allowed in a window for all hosts together.
     spare: f64,
-    /// Span over which both are counted.
+    /// Window over which both are counted.
     window: Duration,
-    requests: Recent,
-    repeats: Recent,
-    /// Repeats of requests whose callers came for the first time.
-    early_repeats: Recent,
-    /// Misses of requests whose callers had come before, repeated or not.
-    late_misses: Recent,
+    requests: EventWindow,
+    repeats: EventWindow,
+    /// Retries of requests whose callers came for the first time.
+    early_repeats: EventWindow,
+    /// Failed attempts of requests whose callers had been refused before, whether retried
+    /// or not.
+    late_misses: EventWindow,
 }
 
 /// Whether a request's caller was refused before, as far as can be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Try {
-    /// It comes for the first time: refused, it comes back.
+    /// The caller's first request; if refused, the caller tries again.
     First,
-    /// It came before: refused again, it gives up.
+    /// A later request of the caller; if refused again, the caller gives up.
     Later,
 }
 
 impl RepeatPart {
-    /// Nothing sent yet.
+    /// Creates a quota without any requests counted.
     pub fn new(ratio: f64, spare: f64, window: Duration) -> Self {
         RepeatPart {
             ratio,
@@ -119,20 +120,22 @@
         self.requests.add(now);
     }
 
-    /// Changes the bound; what was counted stays.
+    /// Changes the limits; counted requests remain counted.
     pub fn set_bound(&mut self, ratio: f64, spare: f64, window: Duration) {
         (self.ratio, self.spare, self.window) = (ratio, spare, window);
     }
 
-    /// Takes one repeat of a request that was missed, where the part allows it.
+    /// Takes one retry for a request whose attempt failed, and returns whether the quota
+    /// allows it.
     ///
-    /// Where repeats are scarce those go first whose callers came before: others come back
-    /// by themselves. With 55 of 100 requests refused by chance and callers that come back
-    /// once, 18 in place of 22 of 100 stay unserved (played in `tests/route_pace.rs`).
+    /// When retries are scarce, requests of returning callers have precedence, because
+    /// first-time callers try again by themselves. With 55 of 100 requests refused at
+    /// random and callers that try again once, 18 instead of 22 of 100 stay unserved
+    /// (simulated in `tests/route_pace.rs`).
     pub fn repeat(&mut self, now: Instant, hosts: Option<usize>, of: Try) -> bool {
         let window = self.window;
         let requests = self.requests.count(now, window) as f64;
-        let most = (requests * self.ratio + part(self.spare, hosts)) * USED_SHARE;
+        let most = (requests * self.ratio + share_of(self.spare, hosts)) * USED_SHARE;
         if of == Try::Later {
             self.late_misses.add(now);
         }
--- a/crates/steering/src/route/patience.rs
+++ b/crates/steering/src/route/patience.rs
@@ -1,31 +1,31 @@
-//! How long callers of a route wait.
+//! Tells returning callers from first-time ones by the timeouts that they state.
 
 use std::time::Duration;
 
 use super::pace::Try;
 
-/// Share of the longest time below which a caller has waited elsewhere before: it spends
-/// most of a round trip and of a pause there.
-const CAME_BEFORE: f64 = 0.97;
-/// Part of the longest time that is kept with each caller, so that a single caller with
-/// more time than all others is forgotten after some hundred.
-const KEPT: f64 = 0.999;
+/// Share of the longest timeout below which a caller counts as returning: it has spent most
+/// of a round trip and of a pause elsewhere.
+const RETURNING_TIMEOUT_SHARE: f64 = 0.97;
+/// Factor by which the longest timeout decays with each caller. A single caller with a
+/// longer timeout than all others is forgotten after some hundred callers.
+const LONGEST_DECAY: f64 = 0.999;
 
-/// The time that callers of a route state when they come for the first time, learned from
-/// what they state.
+/// Timeout that callers of a route state on their first request, learned from the stated
+/// timeouts.
 ///
-/// Where callers state unlike times some count as having come before that have not. Nothing
-/// but an order depends on it.
+/// If callers state different timeouts, some first-time callers count as returning. Only
+/// the order of retries depends on the result.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Patience {
     longest: Duration,
 }
 
 impl Patience {
-    /// Takes the time that a caller will wait; whether it came before.
+    /// Records a caller's timeout and returns whether the caller came before.
     pub fn take(&mut self, time: Duration) -> Try {
-        self.longest = self.longest.mul_f64(KEPT).max(time);
-        match time < self.longest.mul_f64(CAME_BEFORE) {
+        self.longest = self.longest.mul_f64(LONGEST_DECAY).max(time);
+        match time < self.longest.mul_f64(RETURNING_TIMEOUT_SHARE) {
             true => Try::Later,
             false => Try::First,
         }
--- a/crates/steering/src/route/recent.rs
+++ b/crates/steering/src/route/recent.rs
@@ -1,19 +1,19 @@
-//! What a host has lately taken from a feed, for hosts that lack some of it.
+//! Buffers recent changes of a feed for hosts that missed some of them.
 
 use std::collections::VecDeque;
 
 use super::feed::{FeedVersion, Record};
 
-/// Records that are kept: the changes of some seconds, also while a quarter of 1,400
-/// upstreams is new.
-const RECORDS_MOST: usize = 600;
-/// Changes of the feed that are kept, some ten seconds of them.
-const BATCHES_MOST: usize = 16;
+/// Maximum number of buffered records: the changes of some seconds, even while a quarter of
+/// 1,400 upstreams is new.
+const MAX_RECORDS: usize = 600;
+/// Maximum number of buffered changes of the feed: about ten seconds of them.
+const MAX_BATCHES: usize = 16;
 
 /// The newest records of a feed, in order.
 #[derive(Debug, Default)]
 pub struct Recent {
-    /// All that follows this version is kept; none while nothing is known of the feed.
+    /// All changes after this version are buffered; `None` while the feed is unknown.
     since: Option<FeedVersion>,
     batches: VecDeque<Batch>,
     records: usize,
@@ -21,13 +21,14 @@
 
 #[derive(Debug)]
 struct Batch {
-    /// Version of the feed behind it.
+    /// Version of the feed after this batch.
     version: FeedVersion,
     records: Vec<Record>,
 }
 
 impl Recent {
-    /// Begins anew: all that was taken up to `version` is known as a whole only.
+    /// Clears the buffer. Changes up to `version` are available only as a complete
+    /// snapshot.
     pub fn restart(&mut self, version: FeedVersion) {
         *self = Recent {
             since: Some(version),
@@ -35,7 +36,7 @@
         };
     }
 
-    /// Takes what has led to `version`.
+    /// Appends the records that led to `version`.
     pub fn take(&mut self, version: FeedVersion, records: &[Record]) {
         if self.since.is_none() || records.is_empty() {
             return;
@@ -45,7 +46,7 @@
             version,
             records: records.to_vec(),
         });
-        while self.records > RECORDS_MOST || self.batches.len() > BATCHES_MOST {
+        while self.records > MAX_RECORDS || self.batches.len() > MAX_BATCHES {
             let Some(first) = self.batches.pop_front() else {
                 break;
             };
@@ -54,7 +55,8 @@
         }
     }
 
-    /// What follows `after`, in order; none where some of it is no longer kept.
+    /// Returns the records after `after`, in order; `None` if some of them are no longer
+    /// buffered.
     pub fn after(&self, after: FeedVersion) -> Option<Vec<Record>> {
         if self.since.is_none_or(|since| after < since) {
             return None;
--- a/crates/steering/src/route/region_load.rs
+++ b/crates/steering/src/route/region_load.rs
@@ -1,46 +1,47 @@
-//! How full a service's upstreams in a region are.
+//! Estimates the utilization of a service's upstreams in a region.
 
 use std::time::{Duration, Instant};
 
-use super::average::kept;
+use super::average::decay;
 
-/// Time after which a report counts a third: some periods of the work, and less than the
-/// time in which callers move from one region to another.
-const FADES_OVER: Duration = Duration::from_secs(2);
-/// Reports, faded, below which they tell nothing of the whole region.
-const REPORTS_LEAST: f64 = 1.5;
+/// Time constant for the decay of reports: several work times, and shorter than the time in
+/// which callers move between regions.
+const REPORT_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// Minimum decayed number of reports that represent the region.
+const MIN_REPORTS: f64 = 1.5;
 
-/// Load that this host's requests lately met at a service's upstreams in one region, from
-/// what these told with their answers.
+/// Recent load at a service's upstreams in one region, from the load reports in their
+/// answers.
 ///
-/// Where hosts are many, one hears the same upstream about once a minute, and knows the
-/// load of none of them. All that it hears together still tell how full the region is.
+/// With many hosts, one host hears the same upstream about once a minute and knows the load
+/// of none of them. All reports together still show the utilization of the region.
 #[derive(Debug, Default)]
 pub struct RegionLoad {
-    /// Sum of what was told, as shares of slots; fades with time.
+    /// Decayed sum of the reported loads, as shares of slots.
     use_sum: f64,
-    /// Reports that it rests on; fade alike.
+    /// Decayed number of reports.
     reports: f64,
     at: Option<Instant>,
 }
 
 impl RegionLoad {
-    /// Takes a report of an upstream: its requests as a share of its slots.
+    /// Records the requests of an upstream as a share of its slots.
     pub fn take(&mut self, now: Instant, use_of_slots: f64) {
-        let kept = self.kept(now);
-        self.use_sum = self.use_sum * kept + use_of_slots;
-        self.reports = self.reports * kept + 1.0;
+        let remaining = self.remaining(now);
+        self.use_sum = self.use_sum * remaining + use_of_slots;
+        self.reports = self.reports * remaining + 1.0;
         self.at = Some(now);
     }
 
-    /// Requests that a request meets at an upstream, as a share of its slots; 1 is full.
-    /// None where too little was told lately.
+    /// Returns the load that a request meets at an upstream, as a share of its slots; 1 is
+    /// full. `None` if there are too few recent reports.
     pub fn use_of_slots(&self, now: Instant) -> Option<f64> {
-        let is_known = self.reports * self.kept(now) >= REPORTS_LEAST;
+        let is_known = self.reports * self.remaining(now) >= MIN_REPORTS;
         is_known.then(|| self.use_sum / self.reports)
     }
 
-    fn kept(&self, now: Instant) -> f64 {
-        self.at.map_or(0.0, |at| kept(at, now, FADES_OVER))
+    fn remaining(&self, now: Instant) -> f64 {
+        self.at
+            .map_or(0.0, |at| decay(at, now, REPORT_TIME_CONSTANT))
     }
 }
--- a/crates/steering/src/route/roll.rs
+++ b/crates/steering/src/route/roll.rs
@@ -1,4 +1,4 @@
-//! Which hosts there are, and which of them this host hears.
+//! The other hosts, and which of them this host receives heartbeats from.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,46 +8,47 @@
 use crate::ids::{HostName, Incarnation};
 use crate::membership::HostEntry;
 
-/// Silence after which a host is named to no caller. Operators give 3 s beyond the
-/// time in which a host counts as out of touch, 6 s or more in all.
-const NAMED_WITHIN: Duration = Duration::from_millis(3_500);
-/// Silence after which a host no longer counts in shared bounds.
-const COUNTED_WITHIN: Duration = Duration::from_secs(20);
+/// Silence after which a host is no longer advertised to callers. Operators allow 3 s
+/// beyond the time in which a host counts as out of contact, at least 6 s in all.
+const ADVERTISED_FOR: Duration = Duration::from_millis(3_500);
+/// Silence after which a host no longer counts in shared limits.
+const COUNTED_FOR: Duration = Duration::from_secs(20);
 
-/// Time for which this host takes its part of shared bounds after its row has left the list:
-/// as it leaves, it serves on for some seconds. Half of the time for which the others count it.
-const OWN_PART_HELD: Duration = Duration::from_secs(10);
+/// Time for which this host uses its share of limits after its row has left the list: it
+/// serves for some seconds while it shuts down. Half of the time for which the other hosts
+/// count it.
+const OWN_SHARE_KEPT_FOR: Duration = Duration::from_secs(10);
 
-/// Silence of a partner after which its row may be taken out of the store's list.
+/// Silence of a heartbeat partner after which its row may be removed from the store's list.
 const LOST_AFTER: Duration = Duration::from_secs(60);
 
 /// Another host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownHost {
-    /// Where it can be reached.
+    /// Zone and addresses of the host.
     pub entry: HostEntry,
-    /// Its start, where it has been heard.
+    /// Incarnation in its last heartbeat; `None` before the first one.
     pub incarnation: Option<Incarnation>,
-    heard: Option<Instant>,
-    /// Since when it is known, or when it was last heard.
-    noted: Instant,
+    last_heard: Option<Instant>,
+    /// Time at which it was last heard, or else became known.
+    last_sign: Instant,
     /// Whether the store's list has, or had, its row.
     listed: bool,
     leaving: bool,
 }
 
-/// All other hosts that this host knows of.
+/// All other hosts known to this host.
 #[derive(Debug, Default)]
 pub struct Roll {
     hosts: BTreeMap<HostName, KnownHost>,
     me: HostName,
     list: HostList,
-    /// When this host's own row was last seen to be taken out of the list.
-    row_gone: Option<Instant>,
+    /// Time at which this host's own row was removed from the list.
+    row_removed_at: Option<Instant>,
 }
 
 impl Roll {
-    /// Nothing known yet but this host's own name.
+    /// Creates a table without other hosts.
     pub fn new(me: &str) -> Self {
         Roll {
             me: me.to_owned(),
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Takes a part of the store's list, or all of it; says what has changed. A host is
-    /// named to callers only once it is heard.
+    /// Applies changes of the store's list, or a complete snapshot, and returns what has
+    /// changed. A host is advertised to callers only after its first heartbeat.
     pub fn take(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
         let was_listed = self.list.has(&self.me);
-        let news = self.list.take(changes);
+        let changed_records = self.list.take(changes);
         if was_listed && !self.list.has(&self.me) {
-            self.row_gone = Some(now);
+            self.row_removed_at = Some(now);
         }
         for entry in self.list.rows().filter(|entry| entry.name != self.me) {
             let known = self.hosts.get_mut(&entry.name);
@@ -72,8 +73,8 @@
             }
             let host = KnownHost {
                 incarnation: None,
-                heard: None,
-                noted: now,
+                last_heard: None,
+                last_sign: now,
                 listed: true,
                 leaving: false,
                 entry: entry.clone(),
@@ -83,15 +84,15 @@
         let list = &self.list;
         self.hosts
             .retain(|name, host| list.has(name) || is_recent(host, now));
-        news
+        changed_records
     }
 
-    /// The store's list.
+    /// Returns the store's list.
     pub fn list(&self) -> &HostList {
         &self.list
     }
 
-    /// Takes a sign of life; true where it changes which hosts are named.
+    /// Records a heartbeat. Returns true if it changes which hosts are advertised.
     pub fn hear(
         &mut self,
         now: Instant,
@@ -99,14 +100,14 @@
         incarnation: Incarnation,
         leaving: bool,
     ) -> bool {
-        let before = self.is_named(now, &entry.name);
+        let before = self.is_advertised(now, &entry.name);
         let known = self.hosts.get(&entry.name);
         let listed = known.is_some_and(|known| known.listed) || self.list.has(&entry.name);
         let host = KnownHost {
             entry: entry.clone(),
             incarnation: Some(incarnation),
-            heard: Some(now),
-            noted: now,
+            last_heard: Some(now),
+            last_sign: now,
             listed,
             leaving,
         };
@@ -114,39 +115,43 @@
         before == leaving
     }
 
-    /// Takes an answer of a host that is known already.
+    /// Records an answer of a known host as a sign of life.
     pub fn answered(&mut self, now: Instant, name: &str) {
         if let Some(host) = self.hosts.get_mut(name) {
-            host.heard = Some(now);
-            host.noted = now;
+            host.last_heard = Some(now);
+            host.last_sign = now;
         }
     }
 
-    /// Hosts to be named to callers, those that leave left out.
+    /// Returns the hosts to advertise to callers, without those that are shutting down.
     pub fn named(&self, now: Instant) -> impl Iterator<Item = &KnownHost> {
-        self.hosts.values().filter(move |host| is_named(host, now))
+        self.hosts
+            .values()
+            .filter(move |host| is_advertised(host, now))
     }
 
-    /// All other hosts that may be there.
+    /// Returns all other hosts that may be alive.
     pub fn known(&self) -> impl Iterator<Item = &KnownHost> {
         self.hosts.values()
     }
 
-    /// Whether this host has a part of shared bounds: it has, or had until lately, a row by which
-    /// all others count it. One that nobody knows would add to the sum, whatever it believes.
+    /// Returns whether this host has a share of global limits: it has, or recently had, a
+    /// row by which all other hosts count it. A host that no other host knows would exceed
+    /// the limits, whatever its own view.
     pub fn has_part(&self, now: Instant) -> bool {
-        let held_on = |gone: Instant| now.saturating_duration_since(gone) < OWN_PART_HELD;
-        self.list.has(&self.me) || self.row_gone.is_some_and(held_on)
+        let is_kept = |gone: Instant| now.saturating_duration_since(gone) < OWN_SHARE_KEPT_FOR;
+        self.list.has(&self.me) || self.row_removed_at.is_some_and(is_kept)
     }
 
-    /// Whether another host has a part of shared bounds as far as this one knows.
+    /// Returns whether another host has a share of global limits, as far as this host
+    /// knows.
     pub fn counts(&self, now: Instant, name: &str) -> bool {
         let host = self.hosts.get(name);
         self.list.has(name) || host.is_some_and(|host| host.listed && is_recent(host, now))
     }
 
-    /// Other hosts that may use a part of a shared bound: all of the list, and those
-    /// that were heard lately. None before the store's list has been read.
+    /// Returns the other hosts that may use a share of a global limit: all hosts of the
+    /// list and those heard recently. `None` before the store's list has been read.
     pub fn sharers(&self, now: Instant) -> Option<impl Iterator<Item = &HostEntry>> {
         let hosts = self.hosts.values();
         let counted =
@@ -154,48 +159,49 @@
         self.list.is_read().then(|| counted.map(|host| &host.entry))
     }
 
-    /// Which of the hosts that get heartbeats of this one have been silent for so long
-    /// that they are lost.
+    /// Returns the heartbeat partners that have been silent for so long that they are lost.
     pub fn lost<'a>(&self, now: Instant, partners: &'a [HostEntry]) -> Vec<&'a HostName> {
         let is_lost = |name: &HostName| {
             let host = self.hosts.get(name);
-            host.is_some_and(|host| now.saturating_duration_since(host.noted) > LOST_AFTER)
+            host.is_some_and(|host| now.saturating_duration_since(host.last_sign) > LOST_AFTER)
         };
         let names = partners.iter().map(|partner| &partner.name);
         names.filter(|name| is_lost(name)).collect()
     }
 
-    /// Gives every host a new chance to be heard: after a pause of this host the
-    /// silence was its own.
+    /// Restarts every host's liveness timers after a pause of this host, which caused the
+    /// silence itself.
     pub fn resume(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.noted = now;
-            if host.heard.is_some() {
-                host.heard = Some(now);
+            host.last_sign = now;
+            if host.last_heard.is_some() {
+                host.last_heard = Some(now);
             }
         }
     }
 
-    /// Counts every host's silence anew: this host was cut off itself, and must not take the
-    /// others for lost. It would remove the rows of all hosts that it exchanges heartbeats with,
-    /// in the moment in which it reaches the store again and has not heard them yet.
+    /// Restarts the silence timers that decide whether hosts are lost, after this host was
+    /// cut off itself. Otherwise it would remove the rows of all its heartbeat partners at
+    /// the moment when it reaches the store again but has not heard them yet.
     pub fn was_cut_off(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.noted = now;
+            host.last_sign = now;
         }
     }
 
-    fn is_named(&self, now: Instant, name: &str) -> bool {
-        self.hosts.get(name).is_some_and(|host| is_named(host, now))
+    fn is_advertised(&self, now: Instant, name: &str) -> bool {
+        self.hosts
+            .get(name)
+            .is_some_and(|host| is_advertised(host, now))
     }
 }
 
 fn is_recent(host: &KnownHost, now: Instant) -> bool {
-    now.saturating_duration_since(host.noted) < COUNTED_WITHIN
+    now.saturating_duration_since(host.last_sign) < COUNTED_FOR
 }
 
-fn is_named(host: &KnownHost, now: Instant) -> bool {
-    let heard = host.heard;
-    let recently = heard.is_some_and(|at| now.saturating_duration_since(at) < NAMED_WITHIN);
+fn is_advertised(host: &KnownHost, now: Instant) -> bool {
+    let last_heard = host.last_heard;
+    let recently = last_heard.is_some_and(|at| now.saturating_duration_since(at) < ADVERTISED_FOR);
     recently && !host.leaving
 }
--- a/crates/steering/src/route/spread.rs
+++ b/crates/steering/src/route/spread.rs
@@ -1,25 +1,28 @@
-//! Shares of requests, over the services of a route and over regions.
+//! Distributes requests over the services of a route and over regions.
 
 use super::document::Part;
 
-/// Requests by which a share may lie off before an object's own place is overruled.
-const SLACK_REQUESTS: f64 = 4.0;
-/// Use of the own region above which more goes elsewhere.
-const CROWDED: f64 = 0.85;
-/// Use of the own region below which more stays.
-const ROOMY: f64 = 0.6;
-/// Times the share by its slots that a region keeps at most while others have less to do.
-const BEYOND_SLOTS: f64 = 1.3;
+/// Number of requests by which a share may deviate before the selection by object is
+/// overridden.
+const MAX_DEVIATION: f64 = 4.0;
+/// Utilization of the own region above which more requests go to other regions.
+const HIGH_UTILIZATION: f64 = 0.85;
+/// Utilization of the own region below which more requests stay.
+const LOW_UTILIZATION: f64 = 0.6;
+/// Maximum share that a region keeps while other regions have lower utilization, as a
+/// multiple of its share of slots.
+const MAX_SLOT_SHARE_FACTOR: f64 = 1.3;
 
-/// Deals a route's requests to its services in proportion to their weights.
+/// Distributes a route's requests over its services by weight (smooth weighted round
+/// robin).
 #[derive(Debug, Default)]
 pub struct PartSpread {
-    /// Requests that each part is owed so far.
+    /// Requests owed to each service so far.
     owed: Vec<f64>,
 }
 
 impl PartSpread {
-    /// The part that is owed most.
+    /// Picks the service to which most requests are owed and returns its index.
     pub fn pick(&mut self, parts: &[Part]) -> usize {
         let total: f64 = parts.iter().map(|part| part.weight).sum();
         if parts.len() < 2 || total <= 0.0 {
@@ -37,17 +40,17 @@
     }
 }
 
-/// The share of a service's requests that stays in this host's region.
+/// Controls the share of a service's requests that stays in this host's region.
 #[derive(Debug)]
 pub struct RegionSpread {
-    /// From 0 to 1.
+    /// Share that stays, from 0 to 1.
     own: f64,
-    /// Requests that the own region is owed.
+    /// Requests owed to the own region.
     owed: f64,
 }
 
 impl RegionSpread {
-    /// Begins with the share that the region's slots have, by [`share_by_room`].
+    /// Starts with the region's share of room, see [`share_by_room`].
     pub fn new(by_room: f64) -> Self {
         RegionSpread {
             own: by_room,
@@ -55,53 +58,55 @@
         }
     }
 
-    /// The share that stays.
+    /// Returns the share that stays, from 0 to 1.
     pub fn own(&self) -> f64 {
         self.own
     }
 
-    /// Whether a request stays; `place` is its object's own number from 0 to 1, so that
-    /// the same objects stay.
+    /// Returns whether a request stays. `place` is the number from 0 to 1 derived from its
+    /// object's hash, so that the same objects stay.
     pub fn stays(&mut self, place: f64) -> bool {
         self.owed += self.own;
         let mut stays = place < self.own;
-        if self.owed > SLACK_REQUESTS && self.own > 0.0 {
+        if self.owed > MAX_DEVIATION && self.own > 0.0 {
             stays = true;
         }
-        if self.owed < -SLACK_REQUESTS && self.own < 1.0 {
+        if self.owed < -MAX_DEVIATION && self.own < 1.0 {
             stays = false;
         }
         if stays {
             self.owed -= 1.0;
         }
-        self.owed = self.owed.clamp(-2.0 * SLACK_REQUESTS, 2.0 * SLACK_REQUESTS);
+        self.owed = self.owed.clamp(-2.0 * MAX_DEVIATION, 2.0 * MAX_DEVIATION);
         stays
     }
 
-    /// Moves the share by at most `step`, by how full the own region and the emptiest
-    /// other are; 1 is full. `by_room` is the share that the region's room has now.
+    /// Adjusts the share by at most `step`, given the utilization of the own region and of
+    /// the least loaded other region; 1 is full. `by_room` is the region's current share of
+    /// room.
     ///
-    /// While others have less to do the share stays within what its slots allow: a region
-    /// with a tenth of all slots that takes back all its callers' work while its upstreams
-    /// are half used on the mean has some that are full, for each looks after many objects.
-    /// With 3 regions and 1,188 upstreams, 120 of them in one, its callers' answers in time
-    /// went from 0.84 to 0.94 (of what they were owed, one day without trouble).
+    /// While other regions have lower utilization, the share is bounded by the region's
+    /// slots. A region with a tenth of all slots that takes back all work of its callers at
+    /// half utilization has some full upstreams, because each upstream serves many objects.
+    /// With 3 regions and 1,188 upstreams, 120 of them in one region, this bound raised the
+    /// share of its callers' answers in time from 0.84 to 0.94 (of those owed to them, in
+    /// one day without faults).
     pub fn adapt(&mut self, step: f64, own_use: f64, others_use: f64, by_room: f64) {
         let most = match others_use < own_use {
-            true => (by_room * BEYOND_SLOTS).min(1.0),
+            true => (by_room * MAX_SLOT_SHARE_FACTOR).min(1.0),
             false => 1.0,
         };
-        let is_crowded = own_use > CROWDED && others_use < own_use;
-        if is_crowded || self.own > most {
-            let least = if is_crowded { 0.0 } else { most };
+        let is_overloaded = own_use > HIGH_UTILIZATION && others_use < own_use;
+        if is_overloaded || self.own > most {
+            let least = if is_overloaded { 0.0 } else { most };
             self.own = (self.own - step).max(least);
-        } else if own_use < ROOMY {
+        } else if own_use < LOW_UTILIZATION {
             self.own = (self.own + step).min(most);
         }
     }
 }
 
-/// The share of its callers' requests that a region's room would have if callers were
+/// Returns the share of its callers' requests for which a region has room if callers are
 /// spread evenly over regions.
 pub fn share_by_room(own_room: f64, all_room: f64, regions: usize) -> f64 {
     let even = all_room / regions.max(1) as f64;
--- a/crates/steering/src/route/table.rs
+++ b/crates/steering/src/route/table.rs
@@ -6,17 +6,17 @@
 use super::document::{Route, RouteDocument};
 use crate::ids::RuleName;
 
-/// The routes of a document by domain and prefix.
+/// Routes of a document by domain and prefix.
 ///
-/// A look-up tries each of the path's own prefixes, longest first: its cost does
-/// not depend on how many routes there are.
+/// A look-up tries each prefix of the path, longest first. Its cost does not depend on the
+/// number of routes.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     domains: HashMap<String, HashMap<String, Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// The table of a document.
+    /// Creates the table of a document's routes.
     pub fn new(document: &RouteDocument) -> Self {
         let mut domains: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in &document.routes {
@@ -28,13 +28,13 @@
         RouteTable { domains }
     }
 
-    /// Names of all routes.
+    /// Returns the names of all routes.
     pub fn names(&self) -> impl Iterator<Item = &RuleName> {
         let routes = self.domains.values().flat_map(HashMap::values);
         routes.map(|route| &route.name)
     }
 
-    /// The route with the longest prefix of `path`; `host` may carry a port.
+    /// Returns the route with the longest prefix of `path`; `host` may contain a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let domain = host.split(':').next().unwrap_or(host);
         let prefixes = match self.domains.get(domain) {
--- a/crates/steering/src/route/upstream.rs
+++ b/crates/steering/src/route/upstream.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! The report with which an upstream registers itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,47 +8,50 @@
 
 use crate::ids::{ServiceName, ZoneName};
 
-/// Identity of an upstream. A restart has another, or the same with a later birth.
+/// Identity of an upstream. A restarted process has another identity, or the same identity
+/// with a later start time.
 pub type UpstreamId = String;
 
-/// An upstream's own report.
+/// An upstream's registration report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedUpstream {
-    /// Its identity. An address may pass on to another upstream.
+    /// Identity; an address may be reused by another upstream.
     pub id: UpstreamId,
-    /// When this start of it began, in milliseconds since 1970, where it says so.
+    /// Start time of the process in milliseconds since 1970; `None` if not reported.
     pub born_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// Service to which the upstream belongs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// Availability zone that it stands in.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Requests that it works on at once; at least 1.
+    /// Requests that the upstream works on concurrently; at least 1.
     pub slots: u32,
-    /// Whether it takes no more work.
+    /// Whether the upstream accepts no more work.
     pub draining: bool,
-    /// Time for which it stays cold, from the report on; zero where it is warm.
+    /// Remaining warm-up time at the time of the report; zero if the upstream is warm.
     pub cold_for: Duration,
 }
 
 impl ReportedUpstream {
-    /// This start of it: what was learned of another start does not hold for it.
+    /// Returns the key of this incarnation. Knowledge about another incarnation does not
+    /// apply to it.
     pub fn start(&self) -> (UpstreamId, Option<u64>) {
         (self.id.clone(), self.born_ms)
     }
 
-    /// Hash of this start, the same on every host.
+    /// Returns the hash of this incarnation, the same on every host.
     pub fn start_hash(&self) -> u64 {
         XxHash3_64::oneshot(format!("{} {:?}", self.id, self.born_ms).as_bytes())
     }
 
-    /// Whether this is of an earlier start than `known`, and only came late.
+    /// Returns whether this is a delayed report of an earlier incarnation than `known`.
     pub fn is_before(&self, known: &ReportedUpstream) -> bool {
         matches!((self.born_ms, known.born_ms), (Some(own), Some(known)) if own < known)
     }
 
-    /// Hash of the report without what changes with time, the same on every host.
+    /// Returns the hash of the report without its time-dependent fields, the same on every
+    /// host.
     pub fn fingerprint(&self) -> u64 {
         let ReportedUpstream {
             id,
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -1,4 +1,5 @@
-//! What one host believes at a moment, ready to be used by requests.
+//! Immutable snapshot of all that a host knows about routes and upstreams, as used by
+//! requests.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -19,23 +20,24 @@
 use crate::ids::{HostName, RegionName, ServiceName, ZoneName};
 use crate::statement::Obstacle;
 
-/// Time after an answer that names a limit for which objects are kept away for it.
-const LIMIT_FRESH: Duration = Duration::from_secs(5);
-/// Steps in which the share of objects changes that a limited upstream keeps: hosts that
-/// believe a little different loads then keep the same ones.
-const KEPT_STEPS: f64 = 8.0;
-/// Times of its limit by which objects are kept: they are asked for unevenly, and what is too
-/// much finds no token.
-const KEPT_MORE: f64 = 1.5;
+/// Time after an answer with a rate limit during which objects are reassigned because of
+/// the limit.
+const LIMIT_REASSIGNS_FOR: Duration = Duration::from_secs(5);
+/// Number of steps in which the share of objects that a limited upstream keeps changes.
+/// Hosts whose load estimates differ slightly then keep the same objects.
+const KEPT_SHARE_STEPS: f64 = 8.0;
+/// Factor by which the objects that an upstream keeps may exceed its rate limit. Objects
+/// are requested unevenly, and requests beyond the limit get no token.
+const KEPT_RATE_FACTOR: f64 = 1.5;
 
-/// An upstream that requests may go to.
+/// An upstream that may receive requests.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Its report.
+    /// The upstream's registration report.
     pub report: ReportedUpstream,
-    /// Hash of its identity, the same on every host.
+    /// Hash of the upstream's identity, the same on every host.
     pub hash: u64,
-    /// End of its warm-up, where it is cold.
+    /// End of the warm-up; `None` if the upstream is warm.
     pub cold_until: Option<Instant>,
     condition: Arc<Mutex<Condition>>,
     zone: Arc<Mutex<ZoneCondition>>,
@@ -43,17 +45,17 @@
 }
 
 impl Upstream {
-    /// What this host has seen of it.
+    /// Locks and returns this host's observations of the upstream.
     pub fn condition(&self) -> MutexGuard<'_, Condition> {
         lock(&self.condition)
     }
 
-    /// What this host has seen of its zone.
+    /// Locks and returns this host's observations of the upstream's zone.
     pub fn zone(&self) -> MutexGuard<'_, ZoneCondition> {
         lock(&self.zone)
     }
 
-    /// Takes a report of all its load.
+    /// Records a report of the upstream's whole load.
     pub fn reported(&self, now: Instant, running: u32, waiting: u32) {
         self.condition().reported(now, running, waiting);
         let all = f64::from(running) + f64::from(waiting);
@@ -61,67 +63,72 @@
         lock(&self.region).take(now, use_of_slots);
     }
 
-    /// Requests running and waiting there, as far as can be known; `hosts` send to it.
+    /// Returns the estimated number of requests running and waiting at the upstream.
+    /// `hosts` is the number of hosts that send to it.
     pub fn load(&self, now: Instant, hosts: usize) -> f64 {
         let usual = lock(&self.region).use_of_slots(now);
         let usual = usual.map(|usual| usual * f64::from(self.report.slots));
         self.condition().load(now, hosts, usual)
     }
 
-    /// Whether a request that it refused or broke off may be sent to it once more: it has
-    /// room, and seldom does so.
+    /// Returns whether a request that the upstream refused or broke off may be sent there
+    /// again: it has a free slot, and misses are an exception there.
     pub fn may_be_asked_again(&self, now: Instant) -> bool {
         let has_room = self.load(now, 1) < f64::from(self.report.slots);
         has_room && self.condition().may_be_asked_again(now)
     }
 
-    /// Whether an object stays with it in spite of the limit that it names, if it names one.
+    /// Returns whether the upstream keeps an object despite the rate limit that it
+    /// declares, if any.
     ///
-    /// The objects that are too many for it go to their next homes as a whole and by their
-    /// hash, which all hosts share: request by request, both homes would have to hold them.
+    /// Objects beyond the limit go to their next homes as a whole, selected by a hash that
+    /// all hosts share. A decision per request would make both homes hold the object.
     pub fn keeps(&self, now: Instant, wish: &Wish<'_>) -> bool {
-        let Some(limit) = self.fresh_limit(now) else {
+        let Some(limit) = self.recent_limit_per_s(now) else {
             return true;
         };
-        let asked_per_s = self.asked_per_s(now, wish.usual);
-        let kept = (KEPT_MORE * limit / asked_per_s * KEPT_STEPS).ceil() / KEPT_STEPS;
-        place(wish.object ^ self.hash) < kept
+        let received_per_s = self.received_per_s(now, wish.usual);
+        let kept_share = (KEPT_RATE_FACTOR * limit / received_per_s * KEPT_SHARE_STEPS).ceil()
+            / KEPT_SHARE_STEPS;
+        place(wish.object ^ self.hash) < kept_share
     }
 
-    /// Its limit, where this host has heard it lately. One that nothing is sent to names no
-    /// other limit either: its objects come back to ask.
-    fn fresh_limit(&self, now: Instant) -> Option<f64> {
+    /// Returns the rate limit in requests per second if it was declared recently. Later the
+    /// limit no longer moves objects: an upstream that receives nothing can't declare
+    /// another limit, so its objects return and bring its current limit with the answers.
+    fn recent_limit_per_s(&self, now: Instant) -> Option<f64> {
         let limit = self.condition().stated.limit_heard(now)?;
-        (limit.age < LIMIT_FRESH).then_some(limit.per_s)
+        (limit.age < LIMIT_REASSIGNS_FOR).then_some(limit.per_s)
     }
 
-    /// Requests a second that an upstream of its slots gets in its region.
-    fn asked_per_s(&self, now: Instant, usual: Duration) -> f64 {
+    /// Returns the requests per second that an upstream with this number of slots receives
+    /// in its region.
+    fn received_per_s(&self, now: Instant, usual: Duration) -> f64 {
         let use_of_slots = lock(&self.region).use_of_slots(now).unwrap_or(1.0);
         let slots = f64::from(self.report.slots);
         use_of_slots * slots / usual.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
-    /// Requests that it may work on at once: its slots, or what its limit allows in the
-    /// usual time of its work.
+    /// Returns the number of requests that the upstream may work on concurrently: its
+    /// slots, or what its rate limit allows during a typical work time if that is less.
     fn room(&self, now: Instant, usual: Option<Duration>) -> f64 {
         let slots = f64::from(self.report.slots);
-        match (self.fresh_limit(now), usual) {
+        match (self.recent_limit_per_s(now), usual) {
             (Some(per_s), Some(usual)) => slots.min(per_s * usual.as_secs_f64()),
             _ => slots,
         }
     }
 
-    /// Whether it is cold.
+    /// Returns whether the upstream is in its warm-up.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
 }
 
-/// Whether what was seen of a start that no report names must be kept: its report may come
-/// back, and what it has said of itself still holds. It may yet say so while it answers a
-/// request, which holds the condition then.
-fn is_remembered(condition: &Arc<Mutex<Condition>>, now: Instant) -> bool {
+/// Returns whether the observations of an incarnation without a report must be kept. The
+/// report may come back, and the upstream's statements still hold then. A request in flight
+/// holds the condition as well, as its answer may bring a statement.
+fn must_be_kept(condition: &Arc<Mutex<Condition>>, now: Instant) -> bool {
     Arc::strong_count(condition) > 1 || lock(condition).stated.is_remembered(now)
 }
 
@@ -129,15 +136,15 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A service's upstreams in a region.
+/// Upstreams of a service in a region.
 #[derive(Debug, Default)]
 pub struct RegionPool {
-    /// Those that take work; ordered by identity.
+    /// Upstreams that accept work, ordered by identity.
     pub upstreams: Vec<Arc<Upstream>>,
 }
 
 impl RegionPool {
-    /// Requests that they work on at once, together.
+    /// Returns the sum of the upstreams' slots.
     pub fn slots(&self) -> u32 {
         self.upstreams
             .iter()
@@ -145,15 +152,16 @@
             .sum()
     }
 
-    /// Requests that they may work on at once, together, within the limits that they name;
-    /// `usual` is the usual time of their work.
+    /// Returns the number of requests that the upstreams may work on concurrently within
+    /// the rate limits that they declare. `usual` is the typical work time.
     pub fn room(&self, now: Instant, usual: Option<Duration>) -> f64 {
         let upstreams = self.upstreams.iter();
         upstreams.map(|upstream| upstream.room(now, usual)).sum()
     }
 
-    /// Load relative to room; 1 is full. Unusable upstreams count as full. `hosts` are those
-    /// that send to them, `usual` is the usual time of their work.
+    /// Returns the load relative to the room; 1 is full. Unusable upstreams count as full.
+    /// `hosts` is the number of hosts that send to the upstreams, `usual` the typical work
+    /// time.
     pub fn use_of_room(&self, now: Instant, hosts: usize, usual: Option<Duration>) -> f64 {
         let room = self.room(now, usual);
         if room == 0.0 {
@@ -170,28 +178,29 @@
     }
 }
 
-/// A service's upstreams by region.
+/// Upstreams of a service by region.
 #[derive(Debug, Default)]
 pub struct ServicePool {
-    /// Regions that have any.
+    /// Regions with at least one upstream.
     pub regions: BTreeMap<RegionName, RegionPool>,
-    /// What the operator says of the service.
+    /// Settings of the service; `None` if the document does not list it.
     pub terms: Option<ServiceTerms>,
 }
 
-/// How many upstreams have said to this host what keeps work from them.
+/// Number of a service's upstreams whose statements to this host restrict the work sent to
+/// them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StatedCounts {
-    /// Those that rest, or are just back from it.
+    /// Upstreams that asked for rest or have just finished one.
     pub resting: usize,
-    /// Those that leave.
+    /// Upstreams that are shutting down.
     pub leaving: usize,
-    /// Those that name a limit.
+    /// Upstreams that declare a rate limit.
     pub limiting: usize,
 }
 
 impl ServicePool {
-    /// Counts the service's upstreams by what they have said.
+    /// Counts the service's upstreams by their statements.
     pub fn stated(&self, now: Instant) -> StatedCounts {
         let mut counts = StatedCounts::default();
         let pools = self.regions.values();
@@ -208,58 +217,60 @@
     }
 }
 
-/// Immutable; a newer one replaces it whole.
+/// Immutable snapshot; a newer one replaces it as a whole.
 #[derive(Debug, Default)]
 pub struct RouteView {
-    /// Version of the document in force; 0 before the first.
+    /// Version of the document in force; 0 before the first one.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests.
     pub limits: super::document::CallerLimits,
-    /// The document's routes.
+    /// Routes of the document.
     pub table: Arc<RouteTable>,
-    /// The document's customers.
+    /// Customers of the document.
     pub customers: Arc<CustomerTable>,
     /// Whether the upstreams' reports have been read.
     pub upstreams_known: bool,
-    /// Whether other hosts have been asked what work they refuse.
+    /// Whether other hosts have been asked which work they refuse.
     pub works_known: bool,
     /// Upstreams by service.
     pub services: Arc<HashMap<ServiceName, ServicePool>>,
-    /// Addresses for callers of the hosts that are there, by region.
+    /// Caller addresses of the live hosts, by region.
     pub hosts: BTreeMap<RegionName, Vec<SocketAddr>>,
-    /// Hosts that share the bounds, this one included; none while they are not known.
+    /// Number of hosts that share the global limits, this one included; `None` until the
+    /// hosts are known.
     pub sharers: Option<usize>,
-    /// Hosts of the own region, this one included; none while they are not known. Only
-    /// they may send to the region's cold upstreams.
+    /// Hosts of this host's region, this one included; `None` until the hosts are known.
+    /// Only these hosts may send to the region's cold upstreams.
     pub near_hosts: Option<Vec<HostName>>,
 }
 
-/// Zones that are, or were, to get no work.
+/// Zones that are or were evacuated.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Evacuations {
-    /// Those that are to get none now.
+    /// Zones that must get no work now.
     pub wanted: BTreeSet<ZoneName>,
-    /// When an evacuation ended. Upstreams may have turned cold shortly before, and say
-    /// so only in their next report: until their warm-up would be over they count as cold.
+    /// Time at which each evacuation ended. Upstreams may have turned cold shortly before
+    /// and say so only in their next report, so they count as cold until a warm-up from
+    /// that time would be over.
     pub ended: BTreeMap<ZoneName, Instant>,
 }
 
 impl Evacuations {
-    /// Takes what is wanted now; what has changed.
+    /// Replaces the set of evacuated zones and returns the changes.
     pub fn take(&mut self, now: Instant, wanted: BTreeSet<ZoneName>) -> Vec<Record> {
         let ended: Vec<ZoneName> = self.wanted.difference(&wanted).cloned().collect();
-        let turned = wanted.symmetric_difference(&self.wanted);
-        let turned = turned.map(|zone| Record::Evacuation {
+        let changes = wanted.symmetric_difference(&self.wanted);
+        let changes = changes.map(|zone| Record::Evacuation {
             zone: zone.clone(),
             wanted: wanted.contains(zone),
         });
-        let turned = turned.collect();
+        let changes = changes.collect();
         self.ended.extend(ended.into_iter().map(|zone| (zone, now)));
         self.wanted = wanted;
-        turned
+        changes
     }
 
-    /// Digest of the zones that are to get no work now.
+    /// Returns the digest of the zones that must get no work now.
     pub fn digest(&self) -> FeedDigest {
         let zones = self.wanted.iter();
         zones.fold(0, |digest, zone| {
@@ -268,24 +279,26 @@
     }
 }
 
-/// What this host has seen; it outlives views.
+/// Observations of this host, which outlive a view.
 #[derive(Debug, Default)]
 pub struct Conditions {
-    /// Each start of an upstream has its own, also where two starts have the same identity.
+    /// Each incarnation of an upstream has its own entry, even if two incarnations share an
+    /// identity.
     upstreams: HashMap<(UpstreamId, Option<u64>), Arc<Mutex<Condition>>>,
     zones: HashMap<ZoneName, Arc<Mutex<ZoneCondition>>>,
     regions: HashMap<(ServiceName, RegionName), Arc<Mutex<RegionLoad>>>,
 }
 
 impl RouteView {
-    /// Whether requests can be served: a document is in force, upstreams are known, and what
-    /// others refuse, as far as they can be asked.
+    /// Returns whether requests can be served: a document is in force, the upstreams are
+    /// known, and other hosts have been asked which work they refuse, as far as they can be
+    /// reached.
     pub fn is_ready(&self) -> bool {
         self.version > 0 && self.upstreams_known && self.works_known
     }
 
-    /// Upstreams by service and region. Those that drain, stand in an evacuated zone or
-    /// in a zone of no known region are left out.
+    /// Builds the pools by service and region. Upstreams that drain, are in an evacuated
+    /// zone or in a zone without a known region are omitted.
     pub fn pools(
         document: &RouteDocument,
         catalog: &Catalog,
@@ -307,11 +320,11 @@
             }
             let warm_up = document.services.get(&report.service);
             let warm_up = warm_up.map_or(Duration::ZERO, |terms| terms.warm_up);
-            let taken_back = evacuations.ended.get(&report.zone).map(|at| *at + warm_up);
+            let evacuation_warm_up = evacuations.ended.get(&report.zone).map(|at| *at + warm_up);
             let at = (report.service.clone(), region.clone());
             let upstream = Upstream {
                 hash: crate::rendezvous::hash(report.id.as_bytes()),
-                cold_until: listed.cold_until.max(taken_back),
+                cold_until: listed.cold_until.max(evacuation_warm_up),
                 condition: Arc::clone(condition),
                 zone: Arc::clone(zone),
                 region: Arc::clone(conditions.regions.entry(at).or_default()),
@@ -326,10 +339,10 @@
         }
         let regions = &mut conditions.regions;
         regions.retain(|(service, _), _| pools.contains_key(service));
-        let kept: HashSet<_> = catalog.listed().map(|l| l.report.start()).collect();
+        let current: HashSet<_> = catalog.listed().map(|l| l.report.start()).collect();
         conditions
             .upstreams
-            .retain(|start, condition| kept.contains(start) || is_remembered(condition, now));
+            .retain(|start, condition| current.contains(start) || must_be_kept(condition, now));
         pools
     }
 }
--- a/crates/steering/src/route/wish.rs
+++ b/crates/steering/src/route/wish.rs
@@ -1,4 +1,4 @@
-//! What a request asks of a service's upstreams.
+//! Describes what a request needs from a service's upstreams.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 use super::upstream::UpstreamId;
 use crate::ids::HostName;
 
-/// What a request wants of a service.
+/// Criteria for the selection of an upstream.
 pub struct Wish<'a> {
-    /// Hash of its object; any number where it has none.
+    /// Hash of the request's object; an arbitrary number if it has none.
     pub object: u64,
-    /// Whether upstreams that have lately seen the object do its work faster.
+    /// Whether upstreams that recently worked on the object do its work faster.
     pub by_object: bool,
-    /// Time within which its answer is worth most.
+    /// Response time up to which an answer has its full utility.
     pub goal: Duration,
     /// 1 for the most urgent requests of the service, less for others.
     pub urgency: f64,
-    /// Upstreams that had it already, or could not be reached.
+    /// Upstreams that already received the request or could not be reached.
     pub tried: &'a [UpstreamId],
-    /// Usual time of the service's work.
+    /// Typical work time of the service.
     pub usual: Duration,
-    /// What is known of the times of this class of work.
+    /// Learned work times of this class of requests.
     pub estimate: &'a Estimate,
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Bounds of the service.
+    /// Settings of the service; `None` if the document does not list it.
     pub terms: Option<&'a ServiceTerms>,
-    /// Requests in a second that a cold upstream may receive from all hosts, given
-    /// what it bears.
+    /// Maps the operator's limit for a cold upstream to the requests per second that it may
+    /// receive from all hosts.
     pub cold_bound: &'a dyn Fn(f64) -> f64,
-    /// This host.
+    /// Name of this host.
     pub me: &'a str,
-    /// Hosts that may send to cold upstreams of the pool, this one among them; none
-    /// where this host may not, or while they are not known.
+    /// Hosts that may send to the pool's cold upstreams, this one included; `None` if this
+    /// host may not, or while the hosts are unknown.
     pub near_hosts: Option<&'a [HostName]>,
 }
