--- a/crates/gateway/src/control/beliefs.rs
+++ b/crates/gateway/src/control/beliefs.rs
@@ -7,9 +7,9 @@
 
 use steering::ids::{HostName, RegionName, ServiceName, ZoneName};
 use steering::route::{
-    Answering, Catalog, CatalogChange, Changes, Conditions, CustomerTable, DocumentChange,
-    Evacuations, Feed, FeedDigest, Record, Roll, RouteDocument, RouteTable, RouteView, ServicePool,
-    StoreAnswers,
+    Catalog, CatalogChange, Changes, CustomerTable, DocumentChange, Evacuations, Feed, FeedDigest,
+    HostTable, ObservedState, Record, RouteDocument, RouteTable, RouteView, ServicePool,
+    StoreAnswers, StoreUptime,
 };
 
 use super::origin::Origin;
@@ -31,8 +31,8 @@
     evacuations: Evacuations,
     catalog: Catalog,
     store: StoreAnswers,
-    conditions: Conditions,
-    pub roll: Roll,
+    conditions: ObservedState,
+    pub roll: HostTable,
     /// Upstreams by service, until anything is learned that changes them.
     pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
     /// Whether upstreams' reports had been read at the last view.
@@ -59,8 +59,8 @@
             evacuations: Evacuations::default(),
             catalog: Catalog::default(),
             store: StoreAnswers::default(),
-            conditions: Conditions::default(),
-            roll: Roll::new(&common.settings.host),
+            conditions: ObservedState::default(),
+            roll: HostTable::new(&common.settings.host),
             pools: None,
             upstreams_known: false,
             works_known: false,
@@ -86,18 +86,18 @@
     }
 
     /// Takes what another host tells of the store's answers.
-    pub fn store_told(&mut self, now: Instant, from: &str, told: Answering, usual: Duration) {
-        self.store.told(now, told, usual);
+    pub fn store_told(&mut self, now: Instant, from: &str, told: StoreUptime, usual: Duration) {
+        self.store.merge(now, told, usual);
         self.note_return(from);
     }
 
     /// What this host tells others of the store's answers.
-    pub fn store_answers(&self, now: Instant) -> Answering {
-        self.store.tell(now)
+    pub fn store_answers(&self, now: Instant) -> StoreUptime {
+        self.store.uptime(now)
     }
 
     fn note_return(&mut self, seen_by: &str) {
-        let (before, back) = (self.catalog.store_back(), self.store.back());
+        let (before, back) = (self.catalog.store_returned_at(), self.store.returned_at());
         match (before, back) {
             (Some(_), None) => tracing::info!(event = "store_was_not_away", seen_by),
             (_, Some(back)) if before.is_none_or(|before| back > before + SAME_RETURN) => {
@@ -111,12 +111,12 @@
 
     /// Whether reports that vanished are still listed, though they are not waited for any more.
     pub fn waits_no_more(&self, now: Instant) -> bool {
-        self.catalog.waits_until(now).is_none() && self.catalog.has_vanished()
+        self.catalog.grace_until(now).is_none() && self.catalog.has_missing()
     }
 
     /// When time alone changes next what is believed; none where it is not known to.
     pub fn changes_at(&self, now: Instant) -> Option<Instant> {
-        self.catalog.waits_until(now)
+        self.catalog.grace_until(now)
     }
 
     /// Takes a part of a feed, or all of it; what is worth telling others, in order.
@@ -221,7 +221,7 @@
                 }
             }
         }
-        let taken = self.catalog.take(now, changes);
+        let taken = self.catalog.apply(now, changes);
         for change in &taken {
             note(change, origin);
         }
@@ -234,7 +234,7 @@
                 tracing::warn!(event = "row_refused", row = key, reason);
             }
         }
-        self.roll.take(now, changes)
+        self.roll.apply(now, changes)
     }
 
     /// Drops what has run out; true where the next view will differ.
@@ -274,20 +274,20 @@
             limits: self.document.limits,
             table: Arc::clone(&self.table),
             customers: Arc::clone(&self.customers),
-            upstreams_known: self.upstreams_known,
-            works_known: self.works_known,
+            upstreams_loaded: self.upstreams_known,
+            refused_work_loaded: self.works_known,
             services: Arc::clone(pools),
             hosts: self.named.clone(),
-            sharers: self.sharers,
-            near_hosts: self.near_hosts.clone(),
+            sharing_hosts: self.sharers,
+            region_hosts: self.near_hosts.clone(),
         }
     }
 
     /// Hosts that share bounds, and the names of those in the own region; none where this host
     /// has no part of any.
     fn count(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
-        let others = self.roll.sharers(now);
-        let Some(others) = others.filter(|_| self.roll.has_part(now)) else {
+        let others = self.roll.sharing_hosts(now);
+        let Some(others) = others.filter(|_| self.roll.has_share(now)) else {
             return (None, None);
         };
         let mut near = vec![self.me.clone()];
@@ -309,7 +309,7 @@
     /// Other hosts' addresses for callers, by region.
     fn named(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
         let mut named: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
-        for host in self.roll.named(now) {
+        for host in self.roll.advertised(now) {
             if let Some(region) = self.regions.get(&host.entry.zone) {
                 let addresses = named.entry(region.clone()).or_default();
                 addresses.push(host.entry.caller_address);
@@ -325,7 +325,7 @@
         clock::elapsed(origin.as_of).as_millis() as u64,
     );
     match change {
-        CatalogChange::Gone { id, at_once } => {
+        CatalogChange::Removed { id, at_once } => {
             tracing::info!(event = "upstream_gone", upstream = id, at_once, %source, age_ms);
         }
         CatalogChange::Reported(report) => tracing::info!(
--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -5,7 +5,9 @@
 
 use peer::{FeedState, StateQuery, ask_state};
 use steering::membership::HostEntry;
-use steering::route::{Changes, Feed, FeedVersion, Lead, News, Record, Use, pause_most};
+use steering::route::{
+    Changes, Feed, FeedUpdate, FeedVersion, PollSchedule, Record, UpdateKind, max_retry_pause,
+};
 use store::RecordError;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -23,7 +25,7 @@
 /// What a question to the store has brought.
 pub(super) enum Asked {
     /// What others may be told.
-    News(News),
+    News(FeedUpdate),
     /// The store is there, but has not told what is wanted: a pace more would be lost, up to
     /// half of the time in which news are to be heeded.
     Again,
@@ -41,7 +43,7 @@
         spawn_local(Rc::clone(&self).fill_gaps(feed));
         loop {
             let tightest = tightest(feed, &self.common.bounds());
-            self.follower(feed, |own| own.lead.set_tightest(tightest));
+            self.follower(feed, |own| own.lead.set_tightest_bound(tightest));
             let rests = self.follower(feed, |own| own.rests(clock::now()));
             if !rests.is_zero() {
                 self.listen(feed, rests, Wait::Listening).await;
@@ -52,7 +54,7 @@
                 Asked::Again => continue,
                 Asked::Nothing => {}
             }
-            let pace = self.follower(feed, |own| own.lead.pace());
+            let pace = self.follower(feed, |own| own.lead.poll_interval());
             self.listen(feed, pace, Wait::Pace).await;
         }
     }
@@ -78,7 +80,9 @@
         };
         let now = clock::now();
         self.follower(feed, |own| own.waited(Wait::Turn, begun));
-        let (rests, tells) = self.follower(feed, |own| (own.lead.rests(now), own.lead.tells(now)));
+        let (rests, tells) = self.follower(feed, |own| {
+            (own.lead.poll_delay(now), own.lead.forwards_updates(now))
+        });
         if !rests.is_zero() {
             return Asked::Nothing;
         }
@@ -93,7 +97,7 @@
 
     /// Asks the store; what follows what was known, where anything was.
     pub(super) async fn ask(&self, feed: Feed) -> Asked {
-        let (version, wait) = self.follower(feed, |own| (own.version, own.lead.wait()));
+        let (version, wait) = self.follower(feed, |own| (own.version, own.lead.poll_wait()));
         // A call that waits for news would tell later whether the store is back.
         let wait = if self.outage.is_on() {
             Duration::ZERO
@@ -159,7 +163,8 @@
                 beliefs.store_answered(now, usual_silence);
             }
             Some(_) => {
-                self.outage.go_on(pause_most(self.common.bounds().contact));
+                self.outage
+                    .go_on(max_retry_pause(self.common.bounds().contact));
                 beliefs.store_failed();
             }
         }
@@ -195,7 +200,7 @@
                     self.take(feed, changes, Origin { source, as_of });
                     self.follower(feed, |own| {
                         own.advance(version);
-                        own.lead.filled(as_of);
+                        own.lead.gap_filled(as_of);
                     });
                     return;
                 }
@@ -236,7 +241,7 @@
     }
 
     /// Takes an answer of the store; what others may be told.
-    fn asked(&self, feed: Feed, changes: Changes, as_of: Instant) -> News {
+    fn asked(&self, feed: Feed, changes: Changes, as_of: Instant) -> FeedUpdate {
         let (version, whole) = (changes.version, changes.whole);
         self.follower(feed, |own| own.answered(version, as_of));
         let source = Source::Store;
@@ -246,15 +251,20 @@
     }
 
     /// What other hosts are told of this one's knowledge.
-    pub(super) fn news(&self, feed: Feed, version: FeedVersion, records: Vec<Record>) -> News {
+    pub(super) fn news(
+        &self,
+        feed: Feed,
+        version: FeedVersion,
+        records: Vec<Record>,
+    ) -> FeedUpdate {
         let now = clock::now();
         let as_of = self.follower(feed, |own| own.lead.as_of());
         let beliefs = self.beliefs.borrow();
-        News {
+        FeedUpdate {
             feed,
             version,
             digest: beliefs.digest(feed),
-            store: beliefs.store_answers(now),
+            store_uptime: beliefs.store_answers(now),
             // Only what was learned from the store, or from a host that had, is told.
             as_of: as_of.unwrap_or(now),
             records,
@@ -263,21 +273,21 @@
 
     /// Takes what another host has learned of a feed. Where something is missing then, that
     /// host is asked for it, and the store where it can't tell.
-    pub(super) fn told(&self, from: &HostEntry, news: News) {
+    pub(super) fn told(&self, from: &HostEntry, news: FeedUpdate) {
         let feed = news.feed;
         let now = clock::now();
         let at = self.follower(feed, |own| own.version);
-        let mut used = Lead::judge(at, news.version);
+        let mut used = PollSchedule::classify(at, news.version);
         let mut taken = Vec::new();
         let usual_silence = self.follower(feed, |own| own.lead.stale_after());
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.store_told(now, &from.name, news.store, usual_silence);
+        beliefs.store_told(now, &from.name, news.store_uptime, usual_silence);
         let dropped = beliefs.waits_no_more(now) && beliefs.expire(now);
         drop(beliefs);
         if dropped {
             self.publish();
         }
-        if used == Use::Take {
+        if used == UpdateKind::New {
             let changes = Changes {
                 whole: false,
                 records: news.records,
@@ -293,7 +303,7 @@
                     taken = self.follower(feed, |own| own.keep(news.version, false, taken));
                 }
                 false => {
-                    used = Use::Gap;
+                    used = UpdateKind::Gap;
                     self.follower(feed, |own| own.hold_back(std::mem::take(&mut taken)));
                 }
             }
@@ -305,7 +315,7 @@
         self.follower(feed, |own| {
             own.told(used, news.version, news.as_of, missing);
         });
-        if used != Use::Gap {
+        if used != UpdateKind::Gap {
             self.pass_on(&from.name, feed, taken);
         }
     }
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -6,7 +6,8 @@
 
 use steering::membership::HostEntry;
 use steering::route::{
-    Feed, FeedDigest, FeedVersion, HOST_ANSWER_LIMIT, Lead, Recent, Record, Use,
+    Feed, FeedDigest, FeedVersion, HOST_ANSWER_LIMIT, PollSchedule, RecentChanges, Record,
+    UpdateKind,
 };
 use store::RecordError;
 use tokio::sync::Notify;
@@ -44,9 +45,9 @@
     waits: Waits,
     /// Since when nothing has been heard from the store.
     lost_since: Option<Instant>,
-    pub lead: Lead,
+    pub lead: PollSchedule,
     /// What was lately taken, for hosts that lack some of it.
-    pub recent: Recent,
+    pub recent: RecentChanges,
     /// Told when something is missing.
     pub gap: Rc<Notify>,
     /// Told when this host has done what it can to learn it from others.
@@ -72,10 +73,10 @@
             heard,
             waits: Waits::default(),
             lost_since: None,
-            recent: Recent::default(),
+            recent: RecentChanges::default(),
             held_back: Vec::new(),
             missing: None,
-            lead: Lead::new(
+            lead: PollSchedule::new(
                 &settings.host,
                 &feed.to_string(),
                 tightest(feed, &settings.bounds),
@@ -94,7 +95,7 @@
 
     /// Takes into the lead that the store was heard, or a host that had asked it. Where this
     /// took long, the log tells how old the belief had become, and what it had waited for most.
-    fn renew(&mut self, source: Source, take: impl FnOnce(&mut Lead)) {
+    fn renew(&mut self, source: Source, take: impl FnOnce(&mut PollSchedule)) {
         let now = clock::now();
         let age = self.lead.age(now).unwrap_or_default();
         let longest = self.waits.take();
@@ -116,7 +117,7 @@
 
     /// Takes an answer of the store, which was true at `as_of`.
     pub fn answered(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::Store, |lead| lead.asked(as_of));
+        self.renew(Source::Store, |lead| lead.polled(as_of));
         self.advance(version);
         self.missing = None;
         if let Some(since) = self.lost_since.take() {
@@ -132,13 +133,13 @@
 
     /// Notes that all was learned from another host, up to `version`.
     pub fn learned(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.learned(as_of));
+        self.renew(Source::State, |lead| lead.bootstrapped(as_of));
         self.advance(version);
     }
 
     /// Notes that another host has told what was missing, up to `version`.
     pub fn filled(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.filled(as_of));
+        self.renew(Source::State, |lead| lead.gap_filled(as_of));
         self.advance(version);
         self.lacks = false;
     }
@@ -149,8 +150,8 @@
         let mut records = std::mem::take(&mut self.held_back);
         records.extend(taken);
         match whole {
-            true => self.recent.restart(version),
-            false => self.recent.take(version, &records),
+            true => self.recent.reset(version),
+            false => self.recent.push(version, &records),
         }
         records
     }
@@ -179,25 +180,33 @@
         let may_be_filled = self.is_filling || self.missing.is_some();
         match may_be_filled {
             true => self.lead.fresh_for(now).unwrap_or(GAP_LIMIT).min(GAP_LIMIT),
-            false => self.lead.rests(now),
+            false => self.lead.poll_delay(now),
         }
     }
 
     /// Takes what another host has told, which goes up to `version`; it is what is missing
     /// where there is a gap.
-    pub fn told(&mut self, used: Use, version: FeedVersion, as_of: Instant, missing: Missing) {
+    pub fn told(
+        &mut self,
+        used: UpdateKind,
+        version: FeedVersion,
+        as_of: Instant,
+        missing: Missing,
+    ) {
         // The teller reaches the store.
         self.lost_since = None;
         let from = &missing.teller.name;
         match used {
-            Use::Known => self.renew(Source::News, |lead| lead.told(from, used, as_of)),
-            Use::Take => {
-                self.renew(Source::News, |lead| lead.told(from, used, as_of));
+            UpdateKind::Known => {
+                self.renew(Source::News, |lead| lead.received_update(from, used, as_of))
+            }
+            UpdateKind::New => {
+                self.renew(Source::News, |lead| lead.received_update(from, used, as_of));
                 self.advance(version);
                 self.lacks = false;
             }
-            Use::Gap => {
-                self.lead.told(from, used, as_of);
+            UpdateKind::Gap => {
+                self.lead.received_update(from, used, as_of);
                 tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.lacks);
                 if std::mem::replace(&mut self.lacks, true) {
                     self.version = None;
@@ -215,7 +224,7 @@
             self.version = None;
             return;
         }
-        self.lead.failed();
+        self.lead.poll_failed();
         if self.lost_since.is_none() {
             tracing::warn!(event = "store_lost", feed = %self.feed, %error);
             self.lost_since = Some(begun);
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -7,7 +7,7 @@
 use steering::ids::HostName;
 use steering::membership::HostEntry;
 use steering::rendezvous;
-use steering::route::{Feed, News, Record, Roll, groups};
+use steering::route::{Feed, FeedUpdate, HostTable, Record, host_groups};
 
 use super::Control;
 use super::hosts::BEAT_LIMIT;
@@ -20,7 +20,7 @@
 impl Control {
     /// Tells every host of the group what the store has told this one, and one host of each
     /// other group, which passes it on.
-    pub(super) fn tell_all(&self, news: &News) {
+    pub(super) fn tell_all(&self, news: &FeedUpdate) {
         let mut audience = self.group();
         audience.extend(self.firsts(news.feed));
         self.send_news(news, &audience);
@@ -39,7 +39,7 @@
 
     /// Tells the own group what this host has asked the store for, where something was missing.
     /// A group of several listens to its first host, which others expect to pass all on.
-    pub(super) fn tell_own_group(&self, news: &News) {
+    pub(super) fn tell_own_group(&self, news: &FeedUpdate) {
         let group = self.group();
         let hosts = group.iter().chain([&self.me]);
         let is_first = first(&news.feed.to_string(), hosts) == Some(&self.me);
@@ -48,7 +48,7 @@
         }
     }
 
-    fn send_news(&self, news: &News, audience: &[HostEntry]) {
+    fn send_news(&self, news: &FeedUpdate, audience: &[HostEntry]) {
         let feed = news.feed;
         let news = Rc::new(EncodedNews::new(news, NEWS_MOST_BYTES, clock::now()));
         for host in audience {
@@ -84,9 +84,9 @@
         self.groups(&self.beliefs.borrow().roll).len() == 1
     }
 
-    fn groups<'a>(&'a self, roll: &'a Roll) -> Vec<Vec<&'a HostEntry>> {
+    fn groups<'a>(&'a self, roll: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
         let others = roll.known().map(|host| &host.entry);
-        groups(others.chain([&self.me]), &self.common.settings.regions)
+        host_groups(others.chain([&self.me]), &self.common.settings.regions)
     }
 
     /// A client of a host, where no message to it is under way.
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -16,7 +16,7 @@
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::rendezvous;
-use steering::route::{Changes, Feed, HostMessage, HostReply, News, Record};
+use steering::route::{Changes, Feed, FeedUpdate, HostMessage, HostReply, Record};
 use store::{HOSTS_TABLE, OwnRow, PEER_KEY_ROW};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -292,7 +292,9 @@
         } = &beat.heartbeat;
         let now = clock::now();
         let mut beliefs = self.0.beliefs.borrow_mut();
-        let changed = beliefs.roll.hear(now, host, *incarnation, *leaving);
+        let changed = beliefs
+            .roll
+            .record_heartbeat(now, host, *incarnation, *leaving);
         let version = beliefs.version();
         drop(beliefs);
         if changed {
@@ -309,17 +311,19 @@
         Position::default()
     }
 
-    fn news(&self, from: &HostEntry, incarnation: Incarnation, news: News) {
+    fn news(&self, from: &HostEntry, incarnation: Incarnation, news: FeedUpdate) {
         let now = clock::now();
         let mut beliefs = self.0.beliefs.borrow_mut();
-        beliefs.roll.hear(now, from, incarnation, false);
+        beliefs.roll.record_heartbeat(now, from, incarnation, false);
         drop(beliefs);
         self.0.told(from, news);
     }
 
     fn asked(&self, from: &HostEntry, incarnation: Incarnation, ask: HostMessage) -> HostReply {
         let mut beliefs = self.0.beliefs.borrow_mut();
-        beliefs.roll.hear(clock::now(), from, incarnation, false);
+        beliefs
+            .roll
+            .record_heartbeat(clock::now(), from, incarnation, false);
         drop(beliefs);
         match ask {
             HostMessage::Tokens(ask) => HostReply::Tokens(self.0.lend(&from.name, &ask)),
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -59,7 +59,7 @@
         let group = self.group();
         let names = group.iter().map(|host| host.name.as_str());
         let elders: Vec<String> = self.follower(feed, |own| {
-            let elders = own.lead.elders(names);
+            let elders = own.lead.bootstrap_hosts(names);
             elders.into_iter().map(str::to_owned).collect()
         });
         let find = |name: &String| group.iter().find(|host| host.name == *name).cloned();
--- a/crates/gateway/src/control/outage.rs
+++ b/crates/gateway/src/control/outage.rs
@@ -59,7 +59,7 @@
         self.until.take().is_some()
     }
 
-    /// Notes that it has not. No pause until the next call is longer than `pause_most`.
+    /// Notes that it has not. No pause until the next call is longer than `max_retry_pause`.
     pub fn go_on(&self, pause_most: Duration) {
         let mut pauses = self.pauses.borrow_mut();
         let pauses = pauses.get_or_insert_with(|| self::pauses(pause_most));
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -205,9 +205,9 @@
             Some(TokenBound::new(&allowance, &terms))
         };
         let now = clock::now();
-        let counts = from == self.me.name || self.beliefs.borrow().roll.counts(now, from);
+        let counts = from == self.me.name || self.beliefs.borrow().roll.counts_in_bounds(now, from);
         let mut pool = self.pool.borrow_mut();
-        pool.ask(now, from, counts, ask, view.sharers, &bound)
+        pool.ask(now, from, counts, ask, view.sharing_hosts, &bound)
     }
 
     /// Hosts that may keep a group's pool: some of all, then the first of the own region and
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -44,7 +44,7 @@
             ask: LimitAsk {
                 upstream: report.id.clone(),
                 zone: report.zone.clone(),
-                born_ms: report.born_ms,
+                born_ms: report.started_ms,
                 per_s: heard.per_s,
                 heard_ms: heard.age.as_millis() as u32,
                 urgency,
@@ -56,14 +56,14 @@
             // The thread of control has ended with the host.
             Err(_) => Err(Dry(UNHEARD_WAIT)),
         };
-        let mut condition = choice.upstream.condition();
+        let mut condition = choice.upstream.state();
         match token {
             Ok(()) => {
-                condition.stated.limit_gave();
+                condition.statements.limit_gave();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(Dry(wait)) => condition.stated.limit_is_dry(clock::now(), wait),
+            Err(Dry(wait)) => condition.statements.limit_is_dry(clock::now(), wait),
         }
         token
     }
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -1,7 +1,7 @@
 //! Which service and region a request goes to.
 
 use steering::ids::{RegionName, ServiceName};
-use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, place, rank};
+use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, rank, unit_hash};
 
 use super::Traffic;
 
@@ -76,7 +76,7 @@
     let pool = view.services.get(service)?;
     let own = &traffic.common.settings.region;
     let has = |region: &RegionName| pool.regions.contains_key(region) && may(region);
-    let place = place(object);
+    let place = unit_hash(object);
     let now = clock::now();
     if has(own) && traffic.shares().stays(service, pool, place, now) {
         return Some(own.clone());
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Request, Response, StatusCode};
-use steering::route::{CallerLimits, NoAccess, Route, Sender, WorkIdentity, WorkParts};
+use steering::route::{AuthError, CallerLimits, Route, Sender, WorkIdentity, WorkParts};
 use upstream::{Body, BoundError, Bounded, WorkBody, hold};
 
 use super::Traffic;
@@ -81,7 +81,7 @@
         Ok(answered) => answered,
         Err(_) => Err(run.out_of_time()),
     };
-    if let (Err(Refusal::NotRun { .. }), Some(customer)) = (&answered, sender.bounded()) {
+    if let (Err(Refusal::NotRun { .. }), Some(customer)) = (&answered, sender.with_allowance()) {
         traffic.common.allowances.give_back(customer);
     }
     answered
@@ -89,7 +89,7 @@
 
 /// Takes a request off its customer's allowance.
 async fn admit(traffic: &Traffic, sender: &Sender, trail: &mut Trail) -> Result<(), Refusal> {
-    let Some(customer) = sender.bounded() else {
+    let Some(customer) = sender.with_allowance() else {
         return Ok(());
     };
     let begun = clock::now();
@@ -136,10 +136,10 @@
     trail.route.clone_from(&route.name);
     let sender = view
         .customers
-        .recognise(route.public, || credentials(headers));
+        .authenticate(route.public, || credentials(headers));
     let sender = sender.map_err(|error| match error {
-        NoAccess::UnknownKey => unknown(traffic, Refusal::NoAccess),
-        NoAccess::Ambiguous => Refusal::BadRequest(StatusCode::BAD_REQUEST),
+        AuthError::UnknownKey => unknown(traffic, Refusal::NoAccess),
+        AuthError::Ambiguous => Refusal::BadRequest(StatusCode::BAD_REQUEST),
     })?;
     trail.customer = sender.customer().map(|customer| customer.name.clone());
     Ok(Found {
--- a/crates/gateway/src/traffic/hear.rs
+++ b/crates/gateway/src/traffic/hear.rs
@@ -26,8 +26,8 @@
 pub(super) fn hear(upstream: &Upstream, said: &Said) {
     let statement = &said.statement;
     let now = clock::now();
-    if statement.leaves && upstream.condition().stated.leave(now) {
-        let (id, born_ms) = (&upstream.report.id, upstream.report.born_ms);
+    if statement.leaves && upstream.state().statements.leave(now) {
+        let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
         tracing::info!(event = "upstream_leaves", upstream = id, born_ms);
     }
     if let Some(asked) = statement.rest {
@@ -38,7 +38,7 @@
 
 fn hear_rest(upstream: &Upstream, now: Instant, asked: RestAsked) {
     let rest = asked.granted();
-    if upstream.condition().stated.rest(now, rest) {
+    if upstream.state().statements.rest(now, rest) {
         let (id, rest_ms) = (&upstream.report.id, rest.as_millis() as u64);
         let as_asked = asked.is_granted_whole();
         tracing::info!(event = "upstream_rests", upstream = id, rest_ms, as_asked);
@@ -51,8 +51,8 @@
         return;
     }
     let granted = named.and_then(LimitNamed::granted);
-    let change = upstream.condition().stated.limit(now, said.sent, granted);
-    let (id, born_ms) = (&upstream.report.id, upstream.report.born_ms);
+    let change = upstream.state().statements.limit(now, said.sent, granted);
+    let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
     match (change, named) {
         (Some(LimitChange::Named), Some(named)) => {
             let as_named = named.is_granted_whole();
--- a/crates/gateway/src/traffic/look.rs
+++ b/crates/gateway/src/traffic/look.rs
@@ -38,7 +38,7 @@
         );
         self.learn(self.work, self.sent, closed);
         // Whoever has left will not tell what became of what it sent.
-        let abandoned = self.upstream.condition().abandoned.take(closed);
+        let abandoned = self.upstream.state().abandoned.take(closed);
         for (work, sent) in abandoned {
             self.learn(work, sent, closed);
         }
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 use steering::ids::ServiceName;
-use steering::route::{ServicePool, StatedCounts};
+use steering::route::{ServicePool, StatementCounts};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 use upstream::Connections;
@@ -113,7 +113,7 @@
         metrics::gauge!("stagedeck_document_version").set(view.version as f64);
         metrics::gauge!("stagedeck_works_refused")
             .set(traffic.common.suspects.refused().len() as f64);
-        metrics::gauge!("stagedeck_sharers").set(view.sharers.unwrap_or(0) as f64);
+        metrics::gauge!("stagedeck_sharers").set(view.sharing_hosts.unwrap_or(0) as f64);
         for (service, pool) in view.services.iter() {
             count_stated(service, pool, now);
         }
@@ -121,11 +121,11 @@
 }
 
 fn count_stated(service: &ServiceName, pool: &ServicePool, now: Instant) {
-    let StatedCounts {
+    let StatementCounts {
         resting,
         leaving,
         limiting,
-    } = pool.stated(now);
+    } = pool.statement_counts(now);
     let service = || service.clone();
     metrics::gauge!("stagedeck_upstreams_resting", "service" => service()).set(resting as f64);
     metrics::gauge!("stagedeck_upstreams_leaving", "service" => service()).set(leaving as f64);
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -7,8 +7,8 @@
 use hyper::http::request::Parts;
 use steering::ids::ServiceName;
 use steering::route::{
-    Admission, Choice, Fate, Lack, NoRoom, Route, Sender, Sent, Try, UpstreamId, Wish,
-    WorkIdentity, WorkTold, after, choose,
+    Admission, CallerAttempt, Choice, Requirements, RetryDecision, Route, SendOutcome, Sender,
+    Unavailable, UnavailableCause, UpstreamId, WorkIdentity, WorkTold, choose, decide_retry,
 };
 use tokio::task::spawn_local;
 use upstream::{Body, WorkBody};
@@ -49,9 +49,9 @@
     /// When it must be answered, whatever with.
     pub deadline: Instant,
     /// Whether its caller came before.
-    pub which_try: Try,
+    pub which_try: CallerAttempt,
     /// How far each send got.
-    pub sends: Vec<Sent>,
+    pub sends: Vec<SendOutcome>,
     /// Upstreams that are not asked again: they were full, or could not be reached.
     pub tried: Vec<UpstreamId>,
     /// What it is known by where it comes again.
@@ -109,11 +109,11 @@
                 Err(_) if self.turned_away < TURNED_AWAY_MOST => continue,
                 Err(Dry(wait)) => return Err(self.limited(wait)),
             };
-            choice.begin(clock::now(), destination.own_object());
+            choice.note_sent(clock::now(), destination.own_object());
             if let Some(answer) = self.send(&choice).await {
                 return Ok(answer);
             }
-            if self.after_miss(&destination.service) != Fate::SendAgain {
+            if self.after_miss(&destination.service) != RetryDecision::Retry {
                 return Err(self.given_up());
             }
         }
@@ -141,7 +141,7 @@
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
         self.trail.chose(choice);
-        self.sends.push(Sent::Not);
+        self.sends.push(SendOutcome::Not);
         let sent = self.sends.last_mut().expect("it was just pushed");
         let mut sending = Sending {
             head: self.head,
@@ -184,9 +184,9 @@
             // It goes on where the caller leaves, or the request's time is over.
             let _ = spawn_local(look.run()).await;
         }
-        let is_lost = missed.sent == Sent::Not && !missed.lacks_token;
-        let may_be_asked = || choice.upstream.may_be_asked_again(clock::now());
-        if is_lost || (missed.sent != Sent::Not && !may_be_asked()) {
+        let is_lost = missed.sent == SendOutcome::Not && !missed.lacks_token;
+        let may_be_asked = || choice.upstream.allows_retry(clock::now());
+        if is_lost || (missed.sent != SendOutcome::Not && !may_be_asked()) {
             self.tried.push(report.id.clone());
         }
         None
@@ -199,7 +199,7 @@
             return Err(self.out_of_time().into());
         }
         let view = self.traffic.common.view.load_full();
-        let nowhere = NoRoom::unreachable(NO_DOCUMENT_WAIT);
+        let nowhere = Unavailable::unreachable(NO_DOCUMENT_WAIT);
         let Some(pool) = view.services.get(service) else {
             return Err(self.unchosen(nowhere));
         };
@@ -209,24 +209,24 @@
         };
         let settings = &self.traffic.common.settings;
         let bounds = self.traffic.common.bounds();
-        let mut wish = Wish {
+        let mut wish = Requirements {
             object: destination.object,
             by_object: destination.by_object,
-            goal: self.route.goal,
+            latency_goal: self.route.goal,
             urgency: self.urgency(),
-            tried: &self.tried,
-            usual: usual.unwrap_or(self.route.goal.mul_f64(USUAL_AT_FIRST)),
+            excluded: &self.tried,
+            typical_work: usual.unwrap_or(self.route.goal.mul_f64(USUAL_AT_FIRST)),
             estimate: &estimate,
             elapsed: now.saturating_duration_since(self.head.arrived),
             terms: pool.terms.as_ref(),
-            cold_bound: &|bears| Shares::cold_bound(&bounds, bears),
-            me: &settings.host,
-            near_hosts: None,
+            cold_limit_per_s: &|bears| Shares::cold_bound(&bounds, bears),
+            this_host: &settings.host,
+            region_hosts: None,
         };
         let mut no_room = nowhere;
         for (region, pool) in destination.regions_to_ask(pool, self.route, self.sender) {
             let near = *region == settings.region;
-            wish.near_hosts = view.near_hosts.as_deref().filter(|_| near);
+            wish.region_hosts = view.region_hosts.as_deref().filter(|_| near);
             match choose(pool, &wish, now) {
                 Ok(choice) => return Ok(choice),
                 Err(refused) => no_room = refused,
@@ -250,21 +250,21 @@
         (1.0 - URGENCY_STEP * rank).max(URGENCY_LEAST)
     }
 
-    fn after_miss(&self, service: &ServiceName) -> Fate {
-        let reached = self.sends.iter().filter(|sent| **sent != Sent::Not);
+    fn after_miss(&self, service: &ServiceName) -> RetryDecision {
+        let reached = self.sends.iter().filter(|sent| **sent != SendOutcome::Not);
         let reached = reached.count() as u32;
-        let may_have_run = self.sends.contains(&Sent::Perhaps);
+        let may_have_run = self.sends.contains(&SendOutcome::Perhaps);
         let pointless = may_have_run && !self.route.repeatable;
         let suspects = &self.traffic.common.suspects;
         let may_send_again = !pointless
             && reached < self.route.attempts
             && suspects.may_be_repeated(self.work)
             && (reached == 0 || self.take_repeat(service));
-        after(&self.sends, self.route.repeatable, may_send_again)
+        decide_retry(&self.sends, self.route.repeatable, may_send_again)
     }
 
     fn take_repeat(&self, service: &ServiceName) -> bool {
-        let sharers = self.traffic.common.view.load().sharers;
+        let sharers = self.traffic.common.view.load().sharing_hosts;
         let now = clock::now();
         let bounds = self.traffic.common.bounds();
         let mut shares = self.traffic.shares();
@@ -283,8 +283,8 @@
         if self.is_late(clock::now()) {
             return self.out_of_time();
         }
-        match after(&self.sends, self.route.repeatable, false) {
-            Fate::NotRun => self.not_sent(),
+        match decide_retry(&self.sends, self.route.repeatable, false) {
+            RetryDecision::NotRun => self.not_sent(),
             _ => Refusal::MayHaveRun,
         }
     }
@@ -305,7 +305,7 @@
         }
     }
 
-    fn unchosen(&self, no_room: NoRoom) -> Unchosen {
+    fn unchosen(&self, no_room: Unavailable) -> Unchosen {
         Unchosen {
             refusal: self.given_up_with(not_run(&no_room)),
             passed_over: no_room.passed_over,
@@ -330,8 +330,8 @@
 
     /// What is answered when its time is over.
     pub fn out_of_time(&self) -> Refusal {
-        match after(&self.sends, self.route.repeatable, false) {
-            Fate::NotRun => Refusal::NotRun {
+        match decide_retry(&self.sends, self.route.repeatable, false) {
+            RetryDecision::NotRun => Refusal::NotRun {
                 cause: Cause::NoTime,
                 come_back: NO_DOCUMENT_WAIT,
             },
@@ -342,14 +342,14 @@
 
 /// The refusal of a request that has not run. Callers that are refused together are told
 /// times apart.
-fn not_run(no_room: &NoRoom) -> Refusal {
+fn not_run(no_room: &Unavailable) -> Refusal {
     Refusal::NotRun {
-        cause: match no_room.lack {
-            Lack::Reach => Cause::NoUpstream,
-            Lack::Rest => Cause::UpstreamsRest,
-            Lack::Limit => Cause::UpstreamsLimit,
-            Lack::Room => Cause::NoRoom,
+        cause: match no_room.cause {
+            UnavailableCause::Unreachable => Cause::NoUpstream,
+            UnavailableCause::Resting => Cause::UpstreamsRest,
+            UnavailableCause::RateLimited => Cause::UpstreamsLimit,
+            UnavailableCause::Full => Cause::NoRoom,
         },
-        come_back: no_room.come_back + no_room.spread.mul_f64(rand::random()),
+        come_back: no_room.retry_after + no_room.retry_spread.mul_f64(rand::random()),
     }
 }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -8,7 +8,7 @@
 use hyper::header::{AUTHORIZATION, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use steering::route::{Answered, Choice, Sender, Sent, Upstream, WorkIdentity};
+use steering::route::{AnswerOutcome, Choice, SendOutcome, Sender, Upstream, WorkIdentity};
 use steering::statement::Obstacle;
 use upstream::{Body, Holding, Reuse, SendError, TrackedBody, WorkBody, end_to_end};
 
@@ -32,9 +32,9 @@
 impl Flight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
         let begun = clock::now();
-        let mut condition = choice.upstream.condition();
-        condition.sent(begun);
-        condition.works_for(choice.expectation.work.if_fetched);
+        let mut condition = choice.upstream.state();
+        condition.request_sent(begun);
+        condition.note_expected_work(choice.expectation.work.if_fetched);
         drop(condition);
         Flight {
             upstream: Arc::clone(&choice.upstream),
@@ -45,12 +45,12 @@
         }
     }
 
-    fn judge(&self, answered: Answered) {
+    fn judge(&self, answered: AnswerOutcome) {
         let now = clock::now();
         let id = &self.upstream.report.id;
-        let mut condition = self.upstream.condition();
+        let mut condition = self.upstream.state();
         condition.answered(now, answered);
-        if answered.shows_life() && condition.stated.answered(self.begun) {
+        if answered.shows_life() && condition.statements.answered(self.begun) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
         drop(condition);
@@ -63,15 +63,15 @@
     fn drop(&mut self) {
         let is_abandoned = !self.judged.get() && self.is_sent.get();
         if !self.judged.get() {
-            self.judge(Answered::Unknown);
+            self.judge(AnswerOutcome::Unknown);
         }
         let now = clock::now();
-        let mut condition = self.upstream.condition();
+        let mut condition = self.upstream.state();
         if is_abandoned {
             condition.abandoned.note(now, self.work, self.begun);
         }
-        condition.stated.unanswered(self.begun);
-        condition.ended(now);
+        condition.statements.unanswered(self.begun);
+        condition.request_ended(now);
     }
 }
 
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub(super) struct Missed {
     /// How far it got.
-    pub sent: Sent,
+    pub sent: SendOutcome,
     /// Why, for the log.
     pub reason: String,
     /// Whether it was sent nowhere because its upstream has named a limit since it was chosen:
@@ -90,7 +90,7 @@
 }
 
 impl Missed {
-    fn new(sent: Sent, reason: impl ToString) -> Self {
+    fn new(sent: SendOutcome, reason: impl ToString) -> Self {
         Missed {
             sent,
             reason: reason.to_string(),
@@ -124,7 +124,7 @@
     traffic: &Arc<Traffic>,
     choice: &Choice,
     sending: &mut Sending<'_>,
-    sent: &mut Sent,
+    sent: &mut SendOutcome,
 ) -> Result<Response<Body>, Missed> {
     let reuse = match sending.repeatable {
         true => Reuse::Any,
@@ -141,16 +141,16 @@
         Ok(lease) => lease,
         Err(reason) => {
             count_send("not_sent");
-            flight.judge(Answered::Failed);
-            return Err(Missed::new(Sent::Not, reason));
+            flight.judge(AnswerOutcome::Unreachable);
+            return Err(Missed::new(SendOutcome::Not, reason));
         }
     };
-    if let Some(obstacle) = choice.barred(clock::now()) {
+    if let Some(obstacle) = choice.new_obstacle(clock::now()) {
         count_send("not_sent");
         lease.give_back();
         return Err(Missed {
             lacks_token: matches!(obstacle, Obstacle::Limits(_)),
-            ..Missed::new(Sent::Not, obstacle)
+            ..Missed::new(SendOutcome::Not, obstacle)
         });
     }
     let suspects = &traffic.common.suspects;
@@ -158,12 +158,15 @@
     if barred_for.is_some() {
         count_send("not_sent");
         lease.give_back();
-        return Err(Missed::new(Sent::Not, "its work is refused since"));
+        return Err(Missed::new(SendOutcome::Not, "its work is refused since"));
     }
     let Some(request) = request(traffic, upstream, sending) else {
-        return Err(Missed::new(Sent::Perhaps, "the body can't be sent again"));
+        return Err(Missed::new(
+            SendOutcome::Perhaps,
+            "the body can't be sent again",
+        ));
     };
-    *sent = Sent::Perhaps;
+    *sent = SendOutcome::Perhaps;
     flight.is_sent.set(true);
     match lease.send(request, sending.deadline).await {
         Ok(answer) => {
@@ -172,24 +175,24 @@
         }
         Err(SendError::NotSent { reason, request }) => {
             count_send("not_sent");
-            flight.judge(Answered::Failed);
+            flight.judge(AnswerOutcome::Unreachable);
             if let Some(request) = request {
                 sending.body.put_back(request.into_body());
             }
-            Err(Missed::new(Sent::Not, reason))
+            Err(Missed::new(SendOutcome::Not, reason))
         }
         Err(SendError::Lost { reason }) => {
             count_send("lost");
-            flight.judge(Answered::Broken);
+            flight.judge(AnswerOutcome::Broken);
             Err(Missed {
                 was_closed: true,
-                ..Missed::new(Sent::Perhaps, reason)
+                ..Missed::new(SendOutcome::Perhaps, reason)
             })
         }
         Err(SendError::Late) => {
             count_send("late");
-            choice.gave_no_answer(clock::now(), clock::elapsed(flight.begun));
-            Err(Missed::new(Sent::Perhaps, "late"))
+            choice.note_timeout(clock::now(), clock::elapsed(flight.begun));
+            Err(Missed::new(SendOutcome::Perhaps, "late"))
         }
     }
 }
@@ -246,14 +249,17 @@
         .get(&names.request_id)
         .is_some_and(|id| id.as_bytes() == sending.head.id.as_bytes());
     if !is_own && !sending.head.id.is_empty() {
-        flight.judge(Answered::Broken);
-        return Err(Missed::new(Sent::Perhaps, "an answer to another request"));
+        flight.judge(AnswerOutcome::Broken);
+        return Err(Missed::new(
+            SendOutcome::Perhaps,
+            "an answer to another request",
+        ));
     }
     let status = answer.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        flight.judge(Answered::Refused);
-        flight.upstream.condition().replaced();
-        return Err(Missed::new(Sent::Refused, "another has the address"));
+        flight.judge(AnswerOutcome::Refused);
+        flight.upstream.state().replaced();
+        return Err(Missed::new(SendOutcome::Refused, "another has the address"));
     }
     let statement = traffic.dialect.statement(status, headers);
     let lacks_proof = status.is_success() && !headers.contains_key(&names.proof);
@@ -271,17 +277,20 @@
     let load = load.filter(|_| statement.rest.is_none());
     if let Some(load) = load.and_then(|load| traffic.dialect.load(load)) {
         let reporter = &flight.upstream;
-        reporter.reported(clock::now(), load.running, load.waiting);
+        reporter.load_reported(clock::now(), load.running, load.waiting);
     }
     if headers.contains_key(&names.not_run) {
-        flight.judge(Answered::Refused);
-        return Err(Missed::new(Sent::Refused, status));
+        flight.judge(AnswerOutcome::Refused);
+        return Err(Missed::new(SendOutcome::Refused, status));
     }
     if !is_own {
-        flight.judge(Answered::Broken);
-        return Err(Missed::new(Sent::Perhaps, "not an upstream's own answer"));
+        flight.judge(AnswerOutcome::Broken);
+        return Err(Missed::new(
+            SendOutcome::Perhaps,
+            "not an upstream's own answer",
+        ));
     }
-    flight.judge(Answered::Whole);
+    flight.judge(AnswerOutcome::Complete);
     if status.is_success() {
         let now = clock::now();
         let took = now - flight.begun;
--- a/crates/gateway/src/traffic/shares.rs
+++ b/crates/gateway/src/traffic/shares.rs
@@ -6,8 +6,8 @@
 
 use steering::ids::{RegionName, RuleName, ServiceName};
 use steering::route::{
-    Choice, Estimate, PartSpread, Patience, RegionPool, RegionSpread, RepeatPart, Route, RouteView,
-    ServicePool, Try, share_by_room,
+    CallerAttempt, CallerTimeouts, Choice, Estimate, RegionPool, RegionShare, RetryShare, Route,
+    RouteView, ServicePool, WeightedRoundRobin, share_by_capacity,
 };
 
 use crate::settings::{Bounds, GatewaySettings};
@@ -23,15 +23,15 @@
 /// Counts and shares of this host.
 pub(super) struct Shares {
     region: RegionName,
-    repeats: HashMap<ServiceName, RepeatPart>,
-    parts: HashMap<RuleName, PartSpread>,
-    regions: HashMap<ServiceName, RegionSpread>,
+    repeats: HashMap<ServiceName, RetryShare>,
+    parts: HashMap<RuleName, WeightedRoundRobin>,
+    regions: HashMap<ServiceName, RegionShare>,
     /// Usual time from a send to the head of its answer, in milliseconds.
     usual_ms: HashMap<ServiceName, f64>,
     /// Times of each route's work at each service.
     estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
     /// How long callers of each route wait.
-    patience: HashMap<RuleName, Patience>,
+    patience: HashMap<RuleName, CallerTimeouts>,
     /// Version of the document whose routes these are of.
     version: u64,
 }
@@ -62,11 +62,11 @@
     /// Whether a request stays in this host's region; `place` is its object's.
     pub fn stays(&mut self, service: &str, pool: &ServicePool, place: f64, now: Instant) -> bool {
         if !self.regions.contains_key(service) {
-            let spread = RegionSpread::new(by_room(pool, &self.region, now, self.usual(service)));
+            let spread = RegionShare::new(by_room(pool, &self.region, now, self.usual(service)));
             self.regions.insert(service.to_owned(), spread);
         }
         let spread = self.regions.get_mut(service);
-        spread.is_none_or(|spread| spread.stays(place))
+        spread.is_none_or(|spread| spread.keeps_local(place))
     }
 
     /// Counts a request to a service.
@@ -75,9 +75,10 @@
     }
 
     /// Whether a caller of a route came before, by the time that it will wait.
-    pub fn which_try(&mut self, route: &str, time: Duration) -> Try {
+    pub fn which_try(&mut self, route: &str, time: Duration) -> CallerAttempt {
         if !self.patience.contains_key(route) {
-            self.patience.insert(route.to_owned(), Patience::default());
+            self.patience
+                .insert(route.to_owned(), CallerTimeouts::default());
         }
         let patience = self.patience.get_mut(route).expect("it is there");
         patience.take(time)
@@ -89,13 +90,14 @@
         service: &str,
         bounds: &Bounds,
         sharers: Option<usize>,
-        of: Try,
+        of: CallerAttempt,
         now: Instant,
     ) -> bool {
-        self.repeat_part(service, bounds).repeat(now, sharers, of)
+        self.repeat_part(service, bounds)
+            .take_retry(now, sharers, of)
     }
 
-    fn repeat_part(&mut self, service: &str, bounds: &Bounds) -> &mut RepeatPart {
+    fn repeat_part(&mut self, service: &str, bounds: &Bounds) -> &mut RetryShare {
         let Bounds {
             repeat_ratio,
             repeat_spare,
@@ -104,7 +106,7 @@
         } = *bounds;
         if !self.repeats.contains_key(service) {
             self.repeats
-                .insert(service.to_owned(), RepeatPart::default());
+                .insert(service.to_owned(), RetryShare::default());
         }
         let part = self.repeats.get_mut(service).expect("it is there");
         part.set_bound(repeat_ratio, repeat_spare, repeat_window);
@@ -145,8 +147,8 @@
         let Some(estimate) = routes.and_then(|routes| routes.get_mut(route)) else {
             return;
         };
-        let ratio = estimate.learn(expected.standing, choice.cold, expected.speed, work);
-        choice.upstream.condition().speed.take(now, ratio);
+        let ratio = estimate.learn(expected.affinity, choice.cold, expected.speed, work);
+        choice.upstream.state().speed.take(now, ratio);
     }
 
     /// Forgets routes that a new document no longer has.
@@ -190,31 +192,31 @@
                 continue;
             };
             let own = pool.regions.get(&self.region);
-            let hosts = view.near_hosts.as_ref().map_or(1, Vec::len);
-            let own_use = own.map_or(f64::INFINITY, |own| own.use_of_room(now, hosts, usual));
+            let hosts = view.region_hosts.as_ref().map_or(1, Vec::len);
+            let own_use = own.map_or(f64::INFINITY, |own| own.utilization(now, hosts, usual));
             let others = pool.regions.iter();
             let others = others.filter(|(region, _)| **region != self.region);
-            let others_use = others.map(|(_, pool)| pool.use_of_room(now, hosts, usual));
-            let before = spread.own();
+            let others_use = others.map(|(_, pool)| pool.utilization(now, hosts, usual));
+            let before = spread.share();
             let others_use = others_use.fold(f64::INFINITY, f64::min);
             let by_room = by_room(pool, &self.region, now, usual);
             spread.adapt(step, own_use, others_use, by_room);
-            if before != spread.own() {
-                let own = spread.own();
+            if before != spread.share() {
+                let own = spread.share();
                 tracing::info!(event = "region_share", service, own, own_use);
             }
             metrics::gauge!("stagedeck_region_share", "service" => service.clone())
-                .set(spread.own());
+                .set(spread.share());
         }
     }
 }
 
 /// The share that a region's room has in what its callers ask.
 fn by_room(pool: &ServicePool, region: &RegionName, now: Instant, usual: Option<Duration>) -> f64 {
-    let room = |pool: &RegionPool| pool.room(now, usual);
+    let room = |pool: &RegionPool| pool.capacity(now, usual);
     let own = pool.regions.get(region).map_or(0.0, room);
     let all = pool.regions.values().map(room).sum();
-    share_by_room(own, all, pool.regions.len())
+    share_by_capacity(own, all, pool.regions.len())
 }
 
 fn from_ms(ms: f64) -> Duration {
--- a/crates/gateway/src/traffic/trail.rs
+++ b/crates/gateway/src/traffic/trail.rs
@@ -136,7 +136,7 @@
         self.cold = choice.cold;
         let expected = &choice.expectation;
         self.expected_ms = (expected.wait + expected.work.mean()).as_millis() as u64;
-        self.held = round(expected.work.held);
+        self.held = round(expected.work.hit_probability);
         self.speed = round(expected.speed);
         self.worth = round(expected.worth);
         self.sends += 1;
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -8,7 +8,7 @@
 use steering::history::{Entry, Position, Snapshot};
 use steering::ids::{Incarnation, Revision};
 use steering::membership::{Heartbeat, HostEntry};
-use steering::route::{Answering, Changes, Feed, FeedDigest, FeedVersion, News, Record};
+use steering::route::{Changes, Feed, FeedDigest, FeedUpdate, FeedVersion, Record, StoreUptime};
 
 use crate::codec::write_records;
 use crate::names::ServiceNames;
@@ -80,7 +80,7 @@
     pub(crate) records: Vec<u8>,
     /// When the store's answer was true; its age is told when the message is sent.
     pub(crate) as_of: Instant,
-    store: Answering,
+    store: StoreUptime,
     /// When `store` was so.
     made: Instant,
 }
@@ -88,7 +88,7 @@
 impl EncodedNews {
     /// Encodes news that were so at `made`. Where the records take more than `most_bytes`
     /// they are left out: whoever lacks them sees it by the digest, and asks for them.
-    pub fn new(news: &News, most_bytes: usize, made: Instant) -> Self {
+    pub fn new(news: &FeedUpdate, most_bytes: usize, made: Instant) -> Self {
         let none = || write_records(&Vec::<Record>::new(), usize::MAX);
         let records = write_records(&news.records, most_bytes).or_else(none);
         EncodedNews {
@@ -97,15 +97,15 @@
             digest: news.digest,
             records: records.expect("records can be written"),
             as_of: news.as_of,
-            store: news.store,
+            store: news.store_uptime,
             made,
         }
     }
 
     /// Since when the store has answered, as it is told at `now`.
-    pub(crate) fn store(&self, now: Instant) -> Answering {
+    pub(crate) fn store(&self, now: Instant) -> StoreUptime {
         let waited = now.saturating_duration_since(self.made);
-        Answering {
+        StoreUptime {
             answering_for: self.store.answering_for + waited,
             ..self.store
         }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -15,7 +15,7 @@
 use steering::ids::{HostName, Incarnation, Revision};
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
 use steering::membership::HostEntry;
-use steering::route::{Answering, HostMessage, HostReply, News, TokenReply};
+use steering::route::{FeedUpdate, HostMessage, HostReply, StoreUptime, TokenReply};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio_util::compat::TokioAsyncReadCompatExt;
@@ -50,7 +50,7 @@
     fn push(&self, from: &HostName, entry: Entry) -> Position;
     /// Takes a part of a feed of the store. A host that serves no routes has no use
     /// for it.
-    fn news(&self, _from: &HostEntry, _incarnation: Incarnation, _news: News) {}
+    fn news(&self, _from: &HostEntry, _incarnation: Incarnation, _news: FeedUpdate) {}
     /// What this host has taken from a feed of the store; none where it can't tell.
     fn state(&self, _query: StateQuery) -> Option<FeedState> {
         None
@@ -275,14 +275,14 @@
         let in_transit = receipts.in_transit_most(feed, now, since_reply);
         drop(receipts);
         let age = Duration::from_millis(params.get_age_ms().into()) + in_transit;
-        let mut store: Answering = read_json(params.get_store()?)?;
+        let mut store: StoreUptime = read_json(params.get_store()?)?;
         store.answering_for = store.answering_for.saturating_add(in_transit);
-        let news = News {
+        let news = FeedUpdate {
             feed,
             version: params.get_version(),
             digest: params.get_digest(),
             records: read_records(params.get_records()?)?,
-            store,
+            store_uptime: store,
             as_of: before(now, age),
         };
         self.handler.news(&self.host, self.incarnation, news);
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -15,7 +15,7 @@
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::pool::PoolLoad;
-use steering::route::{Answering, Feed, News, Record};
+use steering::route::{Feed, FeedUpdate, Record, StoreUptime};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -31,7 +31,7 @@
     beats: RefCell<Vec<Beat>>,
     summaries: RefCell<Vec<ZoneSummary>>,
     from: RefCell<Option<HostEntry>>,
-    news: RefCell<Vec<News>>,
+    news: RefCell<Vec<FeedUpdate>>,
 }
 
 impl PeerHandler for Keeper {
@@ -54,7 +54,7 @@
         Position::default()
     }
 
-    fn news(&self, _: &HostEntry, _: Incarnation, news: News) {
+    fn news(&self, _: &HostEntry, _: Incarnation, news: FeedUpdate) {
         self.news.borrow_mut().push(news);
     }
 
@@ -227,11 +227,11 @@
     with_server(async |address, keeper| {
         let me = host([v4(1), v4(2), v4(3), v4(4)]);
         let gone = |name: &str| Record::HostGone(name.to_owned());
-        let news = News {
+        let news = FeedUpdate {
             feed: Feed::Hosts,
             version: 8,
             digest: 9,
-            store: Answering {
+            store_uptime: StoreUptime {
                 answering_for: Duration::from_millis(1_500),
                 away_before: Duration::from_secs(4),
             },
@@ -249,9 +249,11 @@
         }
         let heard = keeper.news.borrow();
         assert!(heard[0].as_of <= news_as_of);
-        assert!(heard[0].store.answering_for >= expected.store.answering_for + WAITED);
+        assert!(
+            heard[0].store_uptime.answering_for >= expected.store_uptime.answering_for + WAITED
+        );
         expected.as_of = heard[0].as_of;
-        expected.store.answering_for = heard[0].store.answering_for;
+        expected.store_uptime.answering_for = heard[0].store_uptime.answering_for;
         assert_eq!(*heard, vec![expected]);
     });
 }
--- a/crates/standin/src/measure/customers.rs
+++ b/crates/standin/src/measure/customers.rs
@@ -40,7 +40,7 @@
         let keys: Vec<String> = (0..size.max(1)).map(|n| format!("{KEY}{n}")).collect();
         let us = us_each(ROUNDS, |round| {
             let key = keys[round % keys.len()].as_bytes();
-            let sender = table.recognise(false, || Credentials::Key(KeyHash::of(key)));
+            let sender = table.authenticate(false, || Credentials::Key(KeyHash::of(key)));
             black_box(sender).expect("the key is in force");
         });
         json!({"customers": size, "us": us})
--- a/crates/steering/src/route/patience.rs
+++ b/crates/steering/src/route/caller_timeouts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::pace::Try;
+use super::pace::CallerAttempt;
 
 /// Share of the longest timeout below which a caller counts as returning: it has spent most
 /// of a round trip and of a pause elsewhere.
@@ -17,17 +17,17 @@
 /// If callers state different timeouts, some first-time callers count as returning. Only
 /// the order of retries depends on the result.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Patience {
+pub struct CallerTimeouts {
     longest: Duration,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// Records a caller's timeout and returns whether the caller came before.
-    pub fn take(&mut self, time: Duration) -> Try {
+    pub fn take(&mut self, time: Duration) -> CallerAttempt {
         self.longest = self.longest.mul_f64(LONGEST_DECAY).max(time);
         match time < self.longest.mul_f64(RETURNING_TIMEOUT_SHARE) {
-            true => Try::Later,
-            false => Try::First,
+            true => CallerAttempt::Later,
+            false => CallerAttempt::First,
         }
     }
 }
--- a/crates/steering/src/route/catalog.rs
+++ b/crates/steering/src/route/catalog.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::feed::{Changes, FeedDigest, Record};
-use super::news_timing::LAPSES_TOLD_WITHIN;
+use super::feed_timing::LAPSE_PROPAGATION_LIMIT;
 use super::upstream::{ReportedUpstream, UpstreamId};
 
 /// Time after the store's return within which live upstreams register again; operators give
@@ -35,7 +35,7 @@
     /// A report is new or has changed.
     Reported(ReportedUpstream),
     /// A report is gone.
-    Gone {
+    Removed {
         /// Identity of the upstream.
         id: UpstreamId,
         /// Whether the upstream is dropped at once. Otherwise it is dropped only if it does
@@ -61,7 +61,7 @@
     fn from(change: &CatalogChange) -> Self {
         match change {
             CatalogChange::Reported(report) => Record::Upstream(report.clone()),
-            CatalogChange::Gone { id, .. } => Record::UpstreamGone(id.clone()),
+            CatalogChange::Removed { id, .. } => Record::UpstreamGone(id.clone()),
         }
     }
 }
@@ -74,30 +74,30 @@
     }
 
     /// Returns when the store answered again; `None` without an outage.
-    pub fn store_back(&self) -> Option<Instant> {
+    pub fn store_returned_at(&self) -> Option<Instant> {
         self.store_back
     }
 
     /// Returns the end of the grace time for reports that vanished around an outage; `None`
     /// outside of it.
-    pub fn waits_until(&self, now: Instant) -> Option<Instant> {
+    pub fn grace_until(&self, now: Instant) -> Option<Instant> {
         let until = self.store_back.map(|back| back + REGISTRATION_GRACE);
         until.filter(|until| *until > now)
     }
 
     /// Returns whether the report of any listed upstream has vanished.
-    pub fn has_vanished(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         self.listed.values().any(|listed| listed.vanished)
     }
 
     /// Applies changes of the feed in order, or a complete snapshot, and returns what has
     /// changed.
-    pub fn take(&mut self, now: Instant, changes: &Changes) -> Vec<CatalogChange> {
+    pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<CatalogChange> {
         self.is_read |= changes.whole;
         let mut applied = Vec::new();
         for id in self.missing_from(changes) {
             let at_once = self.remove(now, &id);
-            applied.push(CatalogChange::Gone { id, at_once });
+            applied.push(CatalogChange::Removed { id, at_once });
         }
         for record in &changes.records {
             match record {
@@ -107,12 +107,12 @@
                 // An invalid report names no upstream any more, whoever wrote it.
                 Record::Unusable { key, .. } if self.listed.remove(key).is_some() => {
                     let id = key.clone();
-                    applied.push(CatalogChange::Gone { id, at_once: true });
+                    applied.push(CatalogChange::Removed { id, at_once: true });
                 }
                 Record::UpstreamGone(id) if self.listed.contains_key(id) => {
                     let at_once = self.remove(now, id);
                     let id = id.clone();
-                    applied.push(CatalogChange::Gone { id, at_once });
+                    applied.push(CatalogChange::Removed { id, at_once });
                 }
                 _ => {}
             }
@@ -163,7 +163,7 @@
     /// true if it is removed at once.
     fn remove(&mut self, now: Instant, id: &str) -> bool {
         let may_have_lapsed = self.store_back.is_some_and(|back| {
-            let lapses_until = back + LAPSES_TOLD_WITHIN;
+            let lapses_until = back + LAPSE_PROPAGATION_LIMIT;
             back <= now && now <= lapses_until
         });
         match self.listed.get_mut(id) {
@@ -179,7 +179,7 @@
     /// Drops reports that were not renewed in time. Returns true if any was dropped.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.listed.len();
-        let waits = self.waits_until(now).is_some();
+        let waits = self.grace_until(now).is_some();
         self.listed.retain(|_, listed| waits || !listed.vanished);
         before != self.listed.len()
     }
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::estimate::{Familiarity, Standing};
+use super::estimate::{Affinity, LastSent};
 use super::expectation::{Expectation, UpstreamSnapshot, predict};
 use super::homes::rank;
-use super::no_room::{NoRoom, PassedOver};
 use super::pace::cold_share;
+use super::requirements::Requirements;
+use super::unavailable::{PassedOver, Unavailable};
 use super::upstream::UpstreamId;
 use super::view::{RegionPool, Upstream};
-use super::wish::Wish;
 use crate::ids::HostName;
 use crate::statement::{LimitHeard, Obstacle};
 
@@ -54,36 +54,36 @@
     /// Returns what the upstream has declared since its selection that forbids sending the
     /// request. A request may wait up to 300 ms for a connection, and the upstream may
     /// answer others meanwhile.
-    pub fn barred(&self, now: Instant) -> Option<Obstacle> {
-        let condition = self.upstream.condition();
+    pub fn new_obstacle(&self, now: Instant) -> Option<Obstacle> {
+        let condition = self.upstream.state();
         let obstacle = condition.obstacle(now);
         let barring = obstacle.filter(|obstacle| obstacle.bars_chosen());
-        let lacks_token = !self.has_token && condition.stated.limit_heard(now).is_some();
+        let lacks_token = !self.has_token && condition.statements.limit_heard(now).is_some();
         barring.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
     }
 
     /// Returns the rate limit of which the request needs a token before it is sent.
     pub fn limit(&self, now: Instant) -> Option<LimitHeard> {
-        self.upstream.condition().stated.limit_heard(now)
+        self.upstream.state().statements.limit_heard(now)
     }
 
     /// Counts a request that is about to be sent. `object` is the hash of its object, if it
     /// has one.
-    pub fn begin(&self, now: Instant, object: Option<u64>) {
-        let mut condition = self.upstream.condition();
-        condition.cold_part.take(now);
+    pub fn note_sent(&self, now: Instant, object: Option<u64>) {
+        let mut condition = self.upstream.state();
+        condition.cold_sends.take(now);
         if let Some(object) = object {
-            condition.holding.sent(now, object);
+            condition.sent_objects.sent(now, object);
         }
     }
 
     /// Records that no answer arrived within `silent`, as a lower bound of the upstream's
     /// response time.
-    pub fn gave_no_answer(&self, now: Instant, silent: Duration) {
+    pub fn note_timeout(&self, now: Instant, silent: Duration) {
         let expected = self.expectation.longest();
         let times = self.expectation.speed * silent.as_secs_f64() / expected.as_secs_f64();
         if times > 1.0 {
-            self.upstream.condition().speed.take(now, times);
+            self.upstream.state().speed.take(now, times);
         }
     }
 }
@@ -92,8 +92,12 @@
 ///
 /// # Errors
 ///
-/// Returns [`NoRoom`] with the cause and a retry time if no upstream can take the request.
-pub fn choose(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Result<Choice, NoRoom> {
+/// Returns [`Unavailable`] with the cause and a retry time if no upstream can take the request.
+pub fn choose(
+    pool: &RegionPool,
+    wish: &Requirements<'_>,
+    now: Instant,
+) -> Result<Choice, Unavailable> {
     let Candidates {
         healthy,
         fallback,
@@ -119,16 +123,20 @@
 }
 
 /// Adds the statements of skipped upstreams to the refusal.
-fn with_stated_cause(no_room: NoRoom, passed_over: PassedOver, wish: &Wish<'_>) -> NoRoom {
+fn with_stated_cause(
+    no_room: Unavailable,
+    passed_over: PassedOver,
+    wish: &Requirements<'_>,
+) -> Unavailable {
     let no_room = match (passed_over.rest, passed_over.limit) {
         _ if no_room.is_reachable() => no_room,
         (Some(rest), limit) if limit.is_none_or(|limit| rest < limit.wait) => {
-            NoRoom::resting(rest, wish.usual)
+            Unavailable::resting(rest, wish.typical_work)
         }
-        (_, Some(limit)) => NoRoom::limited(limit),
+        (_, Some(limit)) => Unavailable::limited(limit),
         _ => no_room,
     };
-    NoRoom {
+    Unavailable {
         passed_over: passed_over.named,
         ..no_room
     }
@@ -139,7 +147,7 @@
 /// that know the same loads do not all send to the same upstream (Mitzenmacher, "The power
 /// of two choices in randomized load balancing", IEEE Transactions on Parallel and
 /// Distributed Systems 12(10), 2001). If both are full, all upstreams are compared.
-fn random_candidates(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Candidates {
+fn random_candidates(pool: &RegionPool, wish: &Requirements<'_>, now: Instant) -> Candidates {
     let candidates = ranked_candidates(pool, wish, now, 2);
     let is_free = |choice: &Choice| choice.expectation.wait.is_zero();
     match candidates.healthy.iter().any(is_free) {
@@ -160,13 +168,18 @@
 
 /// Returns the first `most` healthy upstreams in the object's ranking, and the fallback and
 /// skipped upstreams ranked before them.
-fn ranked_candidates(pool: &RegionPool, wish: &Wish<'_>, now: Instant, most: usize) -> Candidates {
+fn ranked_candidates(
+    pool: &RegionPool,
+    wish: &Requirements<'_>,
+    now: Instant,
+    most: usize,
+) -> Candidates {
     let members = pool.upstreams.iter();
     let members = members.map(|upstream| (upstream.hash, f64::from(upstream.report.slots)));
     let mut candidates = Candidates::default();
     for (rank, index) in rank(wish.object, members).enumerate() {
         let upstream = &pool.upstreams[index];
-        let obstacle = upstream.condition().obstacle(now);
+        let obstacle = upstream.state().obstacle(now);
         if let Some(obstacle) = obstacle {
             candidates
                 .passed_over
@@ -176,7 +189,8 @@
         let Some(choice) = candidate(upstream, rank, wish, now) else {
             continue;
         };
-        let is_fallback = upstream.zone().is_doubted(now) || !upstream.keeps(now, wish);
+        let is_fallback =
+            upstream.zone().is_suspected_down(now) || !upstream.keeps_object(now, wish);
         match is_fallback {
             true => candidates.fallback.push(choice),
             false => candidates.healthy.push(choice),
@@ -192,7 +206,7 @@
 /// its wait is too long, another candidate is used only for an object whose requests are
 /// more than one upstream can serve. For any other object a further upstream would have to
 /// fetch the object and evict another one, and would be full next.
-fn best(ranked: Vec<Choice>, wish: &Wish<'_>) -> Result<Choice, NoRoom> {
+fn best(ranked: Vec<Choice>, wish: &Requirements<'_>) -> Result<Choice, Unavailable> {
     let first = &ranked.first().ok_or_else(no_candidates)?.expectation;
     // A first home that misses the goal even for held objects does not count as a home:
     // another upstream takes over its objects for a long time.
@@ -214,22 +228,22 @@
     }
     let is_hot = best.expectation.object_share >= HOT_OBJECT_SHARE;
     let other = ranked.find(|choice| is_hot && is_acceptable(choice));
-    other.ok_or_else(|| NoRoom::full(first_wait))
+    other.ok_or_else(|| Unavailable::full(first_wait))
 }
 
 /// Returns whether a candidate other than the first home would have to fetch the object, by
 /// what this host has sent there.
 fn needs_replica(choice: &Choice) -> bool {
-    let standing = choice.expectation.standing;
-    standing.is_some_and(|standing| standing.familiarity != Familiarity::Recent)
+    let affinity = choice.expectation.affinity;
+    affinity.is_some_and(|affinity| affinity.last_sent != LastSent::Recent)
 }
 
-fn is_acceptable(wait: Duration, wish: &Wish<'_>) -> bool {
-    wait <= wish.goal.mul_f64(MAX_WAIT_GOALS * wish.urgency)
+fn is_acceptable(wait: Duration, wish: &Requirements<'_>) -> bool {
+    wait <= wish.latency_goal.mul_f64(MAX_WAIT_GOALS * wish.urgency)
 }
 
-fn no_candidates() -> NoRoom {
-    NoRoom::unreachable(Duration::ZERO)
+fn no_candidates() -> Unavailable {
+    Unavailable::unreachable(Duration::ZERO)
 }
 
 /// Returns the upstream as a candidate. `None` for an upstream that already received the
@@ -237,33 +251,33 @@
 fn candidate(
     upstream: &Arc<Upstream>,
     rank: usize,
-    wish: &Wish<'_>,
+    wish: &Requirements<'_>,
     now: Instant,
 ) -> Option<Choice> {
-    let hosts = wish.near_hosts.map_or(1, <[HostName]>::len);
+    let hosts = wish.region_hosts.map_or(1, <[HostName]>::len);
     let load = upstream.load(now, hosts);
-    let mut condition = upstream.condition();
-    if wish.tried.contains(&upstream.report.id) {
+    let mut condition = upstream.state();
+    if wish.excluded.contains(&upstream.report.id) {
         return None;
     }
     let limit_per_s = wish.terms.and_then(|terms| terms.cold_per_s);
     let cold = upstream.is_cold(now);
     if let Some(limit_per_s) = limit_per_s.filter(|_| cold) {
-        let most = (wish.cold_bound)(limit_per_s);
-        let share = cold_share(most, &upstream.report.id, wish.me, wish.near_hosts);
-        if !condition.cold_part.has_room(now, share) {
+        let most = (wish.cold_limit_per_s)(limit_per_s);
+        let share = cold_share(most, &upstream.report.id, wish.this_host, wish.region_hosts);
+        if !condition.cold_sends.has_room(now, share) {
             return None;
         }
     }
-    let standing = wish.by_object.then(|| Standing {
-        familiarity: condition.holding.familiarity(now, wish.object),
+    let affinity = wish.by_object.then(|| Affinity {
+        last_sent: condition.sent_objects.last_sent(now, wish.object),
         rank,
     });
-    let object_requests_per_s = condition.holding.per_s(now, wish.object) * hosts as f64;
+    let object_requests_per_s = condition.sent_objects.per_s(now, wish.object) * hosts as f64;
     let snapshot = UpstreamSnapshot {
         load,
         slots: f64::from(upstream.report.slots),
-        standing,
+        affinity,
         cold,
         speed: condition.speed.times(now),
         object_requests_per_s,
--- a/crates/steering/src/route/customer.rs
+++ b/crates/steering/src/route/customer.rs
@@ -67,7 +67,7 @@
 
 /// Why a request's sender is not authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoAccess {
+pub enum AuthError {
     /// The request has no valid API key.
     UnknownKey,
     /// The request has several credentials, so its sender is ambiguous.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the customer if it has an allowance.
-    pub fn bounded(&self) -> Option<&Arc<Customer>> {
+    pub fn with_allowance(&self) -> Option<&Arc<Customer>> {
         let customer = self.customer();
         customer.filter(|customer| customer.allowance.is_some())
     }
@@ -141,11 +141,11 @@
     ///
     /// The route is not public, and the request does not have exactly one credential that
     /// is a valid API key.
-    pub fn recognise(
+    pub fn authenticate(
         &self,
         public: bool,
         credentials: impl FnOnce() -> Credentials,
-    ) -> Result<Sender, NoAccess> {
+    ) -> Result<Sender, AuthError> {
         if self.is_empty() {
             return Ok(Sender::Anyone);
         }
@@ -155,10 +155,10 @@
         match credentials() {
             Credentials::Key(key) => match self.by_key.get(&key) {
                 Some(customer) => Ok(Sender::Customer(Arc::clone(customer))),
-                None => Err(NoAccess::UnknownKey),
+                None => Err(AuthError::UnknownKey),
             },
-            Credentials::None | Credentials::NoKey => Err(NoAccess::UnknownKey),
-            Credentials::Several => Err(NoAccess::Ambiguous),
+            Credentials::None | Credentials::NoKey => Err(AuthError::UnknownKey),
+            Credentials::Several => Err(AuthError::Ambiguous),
         }
     }
 }
--- a/crates/steering/src/route/document.rs
+++ b/crates/steering/src/route/document.rs
@@ -73,7 +73,7 @@
     /// Maximum number of upstreams that one request may be sent to; at least 1.
     pub attempts: u32,
     /// Services among which requests are distributed; never empty.
-    pub parts: Vec<Part>,
+    pub parts: Vec<WeightedService>,
     /// The only regions that may serve requests; empty if all may.
     pub home_regions: Vec<RegionName>,
 }
@@ -92,7 +92,7 @@
 
 /// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service.
     pub service: ServiceName,
     /// Weight relative to the route's other services; not negative.
--- a/crates/steering/src/route/estimate.rs
+++ b/crates/steering/src/route/estimate.rs
@@ -30,7 +30,7 @@
 
 /// How recently this host sent an upstream work on an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Familiarity {
+pub enum LastSent {
     /// Sent within the last seconds.
     Recent,
     /// Sent earlier.
@@ -41,45 +41,46 @@
 
 /// Inputs to the probability that an upstream holds an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Affinity {
     /// Recency of this host's own sends.
-    pub familiarity: Familiarity,
+    pub last_sent: LastSent,
     /// Rank of the upstream among the object's homes, to which other hosts send as well.
     pub rank: usize,
 }
 
 /// Number of ranks with their own hit rate; higher ranks share the last one.
 const RANKS: usize = 3;
-/// Initial hit rates, by familiarity and rank.
+/// Initial hit rates, by recency and rank.
 const INITIAL_HIT_RATES: [[f64; RANKS]; 3] = [[0.95; RANKS], [0.9, 0.85, 0.8], [0.7, 0.3, 0.15]];
 
-impl Standing {
+impl Affinity {
     fn hit_rate_index(self) -> (usize, usize) {
-        (self.familiarity as usize, self.rank.min(RANKS - 1))
+        (self.last_sent as usize, self.rank.min(RANKS - 1))
     }
 }
 
 /// Predicted work time of a request on an upstream of typical speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Work {
+pub struct WorkTime {
     /// Probability that the object is held.
-    pub held: f64,
+    pub hit_probability: f64,
     /// Work time if the object is held.
     pub if_held: Duration,
     /// Work time if the object has to be fetched.
     pub if_fetched: Duration,
 }
 
-impl Work {
+impl WorkTime {
     /// Returns the mean work time.
     pub fn mean(&self) -> Duration {
-        self.if_held.mul_f64(self.held) + self.if_fetched.mul_f64(1.0 - self.held)
+        self.if_held.mul_f64(self.hit_probability)
+            + self.if_fetched.mul_f64(1.0 - self.hit_probability)
     }
 
     /// Multiplies all times by a factor.
-    pub fn times(self, factor: f64) -> Work {
-        Work {
-            held: self.held,
+    pub fn times(self, factor: f64) -> WorkTime {
+        WorkTime {
+            hit_probability: self.hit_probability,
             if_held: self.if_held.mul_f64(factor),
             if_fetched: self.if_fetched.mul_f64(factor),
         }
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Predicts the work time. `standing` is `None` for a request without an object.
-    pub fn work(&self, standing: Option<Standing>, cold: bool) -> Work {
-        let held = standing.map_or(1.0, |standing| self.hit_rate(standing));
+    /// Predicts the work time. `affinity` is `None` for a request without an object.
+    pub fn work(&self, affinity: Option<Affinity>, cold: bool) -> WorkTime {
+        let hit_probability = affinity.map_or(1.0, |affinity| self.hit_rate(affinity));
         let if_held = self.held.value();
-        let work = Work {
-            held,
+        let work = WorkTime {
+            hit_probability,
             if_held,
             if_fetched: self.fetched.value().max(if_held),
         };
@@ -123,7 +124,7 @@
     /// one.
     pub fn learn(
         &mut self,
-        standing: Option<Standing>,
+        affinity: Option<Affinity>,
         cold: bool,
         speed: f64,
         took: Duration,
@@ -131,9 +132,9 @@
         let was_cold = if cold { self.cold_factor } else { 1.0 };
         let normalized = took.div_f64((speed * was_cold).max(RATIO_BOUNDS.0));
         let is_short = normalized < self.held.value().mul_f64(FETCHED_TIME_RATIO);
-        let was_held = is_short || self.is_certainly_held(standing);
-        if let Some(standing) = standing {
-            self.count_hit(standing, is_short);
+        let was_held = is_short || self.is_certainly_held(affinity);
+        if let Some(affinity) = affinity {
+            self.count_hit(affinity, is_short);
         }
         let usual = match was_held {
             true => self.held.value(),
@@ -154,21 +155,20 @@
 
     /// Returns whether a slow answer is due to the upstream and not to the object: the
     /// object was sent there recently, and such objects are seldom evicted.
-    fn is_certainly_held(&self, standing: Option<Standing>) -> bool {
-        standing.is_none_or(|standing| {
-            standing.familiarity == Familiarity::Recent
-                && self.hit_rate(standing) > CERTAIN_HIT_RATE
+    fn is_certainly_held(&self, affinity: Option<Affinity>) -> bool {
+        affinity.is_none_or(|affinity| {
+            affinity.last_sent == LastSent::Recent && self.hit_rate(affinity) > CERTAIN_HIT_RATE
         })
     }
 
-    fn hit_rate(&self, standing: Standing) -> f64 {
-        let (familiarity, rank) = standing.hit_rate_index();
-        self.hit_rates[familiarity][rank]
+    fn hit_rate(&self, affinity: Affinity) -> f64 {
+        let (last_sent, rank) = affinity.hit_rate_index();
+        self.hit_rates[last_sent][rank]
     }
 
-    fn count_hit(&mut self, standing: Standing, hit: bool) {
-        let (familiarity, rank) = standing.hit_rate_index();
-        let hit_rate = &mut self.hit_rates[familiarity][rank];
+    fn count_hit(&mut self, affinity: Affinity, hit: bool) {
+        let (last_sent, rank) = affinity.hit_rate_index();
+        let hit_rate = &mut self.hit_rates[last_sent][rank];
         *hit_rate += HIT_RATE_WEIGHT * (f64::from(u8::from(hit)) - *hit_rate);
     }
 }
--- a/crates/steering/src/route/expectation.rs
+++ b/crates/steering/src/route/expectation.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use super::estimate::{Standing, Work};
-use super::wish::Wish;
+use super::estimate::{Affinity, WorkTime};
+use super::requirements::Requirements;
 
 /// Utility of an answer after the latency goal, relative to one within the goal.
 const LATE_UTILITY: f64 = 0.2;
@@ -24,11 +24,11 @@
 pub struct Expectation {
     /// Inputs to the probability that the upstream holds the object; `None` for a request
     /// without an object.
-    pub standing: Option<Standing>,
+    pub affinity: Option<Affinity>,
     /// Predicted time until a slot is free.
     pub wait: Duration,
     /// Predicted work time.
-    pub work: Work,
+    pub work: WorkTime,
     /// Response time of the upstream relative to the service's typical one.
     pub speed: f64,
     /// Share of the upstream's slots taken by recent requests for the object.
@@ -54,7 +54,7 @@
     /// Requests that the upstream works on concurrently.
     pub slots: f64,
     /// `None` for a request without an object.
-    pub standing: Option<Standing>,
+    pub affinity: Option<Affinity>,
     /// Whether the upstream is cold.
     pub cold: bool,
     /// Response time relative to the service's typical one.
@@ -64,40 +64,40 @@
 }
 
 /// Predicts how a request fares at an upstream.
-pub(super) fn predict(wish: &Wish<'_>, snapshot: &UpstreamSnapshot) -> Expectation {
+pub(super) fn predict(wish: &Requirements<'_>, snapshot: &UpstreamSnapshot) -> Expectation {
     let UpstreamSnapshot {
         load,
         slots,
-        standing,
+        affinity,
         cold,
         speed,
         object_requests_per_s,
     } = *snapshot;
     let queued_ahead = (load + 1.0 - slots).max(0.0);
-    let wait = wish.usual.mul_f64(speed * queued_ahead / slots);
-    let work = wish.estimate.work(standing, cold).times(speed);
+    let wait = wish.typical_work.mul_f64(speed * queued_ahead / slots);
+    let work = wish.estimate.work(affinity, cold).times(speed);
     let after_wait = |work: Duration| on_time_probability(wish, wait + work);
-    let on_time =
-        work.held * after_wait(work.if_held) + (1.0 - work.held) * after_wait(work.if_fetched);
+    let on_time = work.hit_probability * after_wait(work.if_held)
+        + (1.0 - work.hit_probability) * after_wait(work.if_fetched);
     let answer_utility = LATE_UTILITY + (1.0 - LATE_UTILITY) * on_time;
     let full = (load / slots / FULL_LOAD).min(1.0);
-    let relative_work = work.mean().as_secs_f64() / wish.usual.as_secs_f64().max(1e-6);
+    let relative_work = work.mean().as_secs_f64() / wish.typical_work.as_secs_f64().max(1e-6);
     Expectation {
-        standing,
+        affinity,
         wait,
         work,
         speed,
         object_share: object_requests_per_s * work.if_held.as_secs_f64() / slots,
-        too_slow: speed > 1.0 && work.if_held > wish.goal.mul_f64(GOAL_SHARE_FOR_WORK),
+        too_slow: speed > 1.0 && work.if_held > wish.latency_goal.mul_f64(GOAL_SHARE_FOR_WORK),
         worth: wish.urgency * answer_utility - CONGESTION_COST * relative_work * full * full,
     }
 }
 
 /// Returns the probability that a request is answered within its goal if it takes `more`
 /// from now on.
-fn on_time_probability(wish: &Wish<'_>, remaining: Duration) -> f64 {
+fn on_time_probability(wish: &Requirements<'_>, remaining: Duration) -> f64 {
     let goal_left =
-        wish.goal.mul_f64(GOAL_SHARE_FOR_WORK).as_secs_f64() - wish.elapsed.as_secs_f64();
+        wish.latency_goal.mul_f64(GOAL_SHARE_FOR_WORK).as_secs_f64() - wish.elapsed.as_secs_f64();
     let spread = WORK_SPREAD * remaining.as_secs_f64() + 0.005;
     1.0 / (1.0 + ((remaining.as_secs_f64() - goal_left) / spread).exp())
 }
--- a/crates/steering/src/route/feed.rs
+++ b/crates/steering/src/route/feed.rs
@@ -8,7 +8,7 @@
 
 use super::document::RouteDocument;
 use super::document_change::DocumentChange;
-use super::store_answers::Answering;
+use super::store_answers::StoreUptime;
 use super::upstream::{ReportedUpstream, UpstreamId};
 use crate::ids::{HostName, ZoneName};
 use crate::membership::HostEntry;
@@ -84,7 +84,7 @@
 /// Only changes are sent, because most records repeat known ones. The digest shows whether
 /// the receiver misses any.
 #[derive(Debug, Clone, PartialEq)]
-pub struct News {
+pub struct FeedUpdate {
     /// Feed that the update belongs to.
     pub feed: Feed,
     /// Version of the feed up to which the sender has applied changes.
@@ -92,7 +92,7 @@
     /// Digest of all that the sender has applied up to `version`.
     pub digest: FeedDigest,
     /// Time for which the store has answered, as far as the sender knows.
-    pub store: Answering,
+    pub store_uptime: StoreUptime,
     /// Time at which the underlying answer of the store was current, by the receiver's
     /// clock. Never later than the actual time.
     pub as_of: Instant,
--- a/crates/steering/src/route/news_timing.rs
+++ b/crates/steering/src/route/feed_timing.rs
@@ -23,36 +23,36 @@
 /// reports that expired during the outage. A report removed later belongs to an upstream
 /// that has left. If it were kept, the upstream would get work for longer than a service
 /// may allow, which is 2 s in the tightest known deployment.
-pub const LAPSES_TOLD_WITHIN: Duration = Duration::from_secs(1);
+pub const LAPSE_PROPAGATION_LIMIT: Duration = Duration::from_secs(1);
 
 /// Time reserved for the first answered store call of a host that was cut off, before it
 /// counts as in contact again.
 const FIRST_ANSWER_TIME: Duration = Duration::from_millis(200);
-/// Lower bound of [`pause_most`], for deployments in which hosts count as in contact again
+/// Lower bound of [`max_retry_pause`], for deployments in which hosts count as in contact again
 /// after very little time.
 const MIN_PAUSE_LIMIT: Duration = Duration::from_millis(400);
 
 /// Intervals and timeouts of a host that follows a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsTiming {
+pub struct FeedTiming {
     /// Shortest time within which a change of the feed must take effect.
-    pub tightest: Duration,
+    pub tightest_bound: Duration,
 }
 
-impl NewsTiming {
+impl FeedTiming {
     /// Returns the age of a host's state at which it polls the store itself.
     pub fn stale_after(self) -> Duration {
-        self.tightest.mul_f64(STALE_SHARE)
+        self.tightest_bound.mul_f64(STALE_SHARE)
     }
 
     /// Returns the time between two polls.
-    pub fn pace(self) -> Duration {
-        self.tightest.mul_f64(POLL_INTERVAL_SHARE)
+    pub fn poll_interval(self) -> Duration {
+        self.tightest_bound.mul_f64(POLL_INTERVAL_SHARE)
     }
 
     /// Returns the time for which a poll waits for changes.
-    pub fn wait(self) -> Duration {
-        self.tightest.mul_f64(POLL_WAIT_SHARE)
+    pub fn poll_wait(self) -> Duration {
+        self.tightest_bound.mul_f64(POLL_WAIT_SHARE)
     }
 }
 
@@ -63,7 +63,7 @@
 /// then it must have received all changes, even if a call was in progress when the cut
 /// ended. With pauses of up to 3.2 s, a host polled as late as 4.0 s after a cut but
 /// counted as in contact after 3 s (sum of the constants).
-pub fn pause_most(contact: Duration) -> Duration {
-    let others = STORE_CALL_LIMIT + FIRST_ANSWER_TIME + LAPSES_TOLD_WITHIN;
+pub fn max_retry_pause(contact: Duration) -> Duration {
+    let others = STORE_CALL_LIMIT + FIRST_ANSWER_TIME + LAPSE_PROPAGATION_LIMIT;
     contact.saturating_sub(others).max(MIN_PAUSE_LIMIT)
 }
--- a/crates/steering/src/route/health.rs
+++ b/crates/steering/src/route/health.rs
@@ -22,23 +22,23 @@
 
 /// Result of a request, as evidence of the upstream's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerOutcome {
     /// A complete answer arrived.
-    Whole,
+    Complete,
     /// The upstream answered that it is full or not the one addressed. It is alive.
     Refused,
     /// The upstream could not be reached.
-    Failed,
+    Unreachable,
     /// The connection was made, but no answer or no valid one arrived.
     Broken,
     /// The caller left or the deadline passed: no evidence.
     Unknown,
 }
 
-impl Answered {
+impl AnswerOutcome {
     /// Returns whether the result proves that the upstream is alive.
     pub fn shows_life(self) -> bool {
-        matches!(self, Answered::Whole | Answered::Refused)
+        matches!(self, AnswerOutcome::Complete | AnswerOutcome::Refused)
     }
 }
 
@@ -79,19 +79,19 @@
 
 impl Health {
     /// Records the result of a request.
-    pub fn take(&mut self, now: Instant, answered: Answered) {
+    pub fn take(&mut self, now: Instant, answered: AnswerOutcome) {
         match answered {
-            Answered::Whole => {
+            AnswerOutcome::Complete => {
                 self.complete.add(now);
                 self.record_alive();
             }
-            Answered::Refused => {
+            AnswerOutcome::Refused => {
                 self.missed.add(now);
                 self.record_alive();
             }
-            Answered::Failed => self.record_failure(now),
-            Answered::Broken => self.record_broken(now),
-            Answered::Unknown => {}
+            AnswerOutcome::Unreachable => self.record_failure(now),
+            AnswerOutcome::Broken => self.record_broken(now),
+            AnswerOutcome::Unknown => {}
         }
     }
 
@@ -102,7 +102,7 @@
 
     /// Returns whether a request that the upstream refused or broke off may be sent there
     /// again: misses are an exception there, and the upstream holds the object.
-    pub fn may_be_asked_again(&self, now: Instant) -> bool {
+    pub fn allows_retry(&self, now: Instant) -> bool {
         let (complete, missed) = (self.complete.count(now), self.missed.count(now));
         complete >= MIN_COMPLETE_ANSWERS && complete >= (complete + missed) * MIN_COMPLETE_SHARE
     }
--- a/crates/steering/src/route/homes.rs
+++ b/crates/steering/src/route/homes.rs
@@ -63,7 +63,7 @@
 }
 
 /// Maps an object's hash to a number above 0 and below 1.
-pub fn place(object: u64) -> f64 {
+pub fn unit_hash(object: u64) -> f64 {
     unit(XxHash3_64::oneshot(&object.to_le_bytes()))
 }
 
--- a/crates/steering/src/route/groups.rs
+++ b/crates/steering/src/route/host_groups.rs
@@ -11,7 +11,7 @@
 
 /// Divides hosts into groups: a single group if they are few, else one per region, else one
 /// per zone. Hosts with the same list of hosts compute the same groups.
-pub fn groups<'a>(
+pub fn host_groups<'a>(
     hosts: impl IntoIterator<Item = &'a HostEntry>,
     regions: &BTreeMap<ZoneName, RegionName>,
 ) -> Vec<Vec<&'a HostEntry>> {
--- a/crates/steering/src/route/host_list.rs
+++ b/crates/steering/src/route/host_list.rs
@@ -18,7 +18,7 @@
 impl HostList {
     /// Applies changes of the feed in order, or a complete snapshot, and returns what has
     /// changed.
-    pub fn take(&mut self, changes: &Changes) -> Vec<Record> {
+    pub fn apply(&mut self, changes: &Changes) -> Vec<Record> {
         self.is_read |= changes.whole;
         let mut changed_records = Vec::new();
         for name in self.missing_from(changes) {
--- a/crates/steering/src/route/roll.rs
+++ b/crates/steering/src/route/host_table.rs
@@ -39,7 +39,7 @@
 
 /// All other hosts known to this host.
 #[derive(Debug, Default)]
-pub struct Roll {
+pub struct HostTable {
     hosts: BTreeMap<HostName, KnownHost>,
     me: HostName,
     list: HostList,
@@ -47,20 +47,20 @@
     row_removed_at: Option<Instant>,
 }
 
-impl Roll {
+impl HostTable {
     /// Creates a table without other hosts.
     pub fn new(me: &str) -> Self {
-        Roll {
+        HostTable {
             me: me.to_owned(),
-            ..Roll::default()
+            ..HostTable::default()
         }
     }
 
     /// Applies changes of the store's list, or a complete snapshot, and returns what has
     /// changed. A host is advertised to callers only after its first heartbeat.
-    pub fn take(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
+    pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
         let was_listed = self.list.has(&self.me);
-        let changed_records = self.list.take(changes);
+        let changed_records = self.list.apply(changes);
         if was_listed && !self.list.has(&self.me) {
             self.row_removed_at = Some(now);
         }
@@ -93,7 +93,7 @@
     }
 
     /// Records a heartbeat. Returns true if it changes which hosts are advertised.
-    pub fn hear(
+    pub fn record_heartbeat(
         &mut self,
         now: Instant,
         entry: &HostEntry,
@@ -124,7 +124,7 @@
     }
 
     /// Returns the hosts to advertise to callers, without those that are shutting down.
-    pub fn named(&self, now: Instant) -> impl Iterator<Item = &KnownHost> {
+    pub fn advertised(&self, now: Instant) -> impl Iterator<Item = &KnownHost> {
         self.hosts
             .values()
             .filter(move |host| is_advertised(host, now))
@@ -138,21 +138,21 @@
     /// Returns whether this host has a share of global limits: it has, or recently had, a
     /// row by which all other hosts count it. A host that no other host knows would exceed
     /// the limits, whatever its own view.
-    pub fn has_part(&self, now: Instant) -> bool {
+    pub fn has_share(&self, now: Instant) -> bool {
         let is_kept = |gone: Instant| now.saturating_duration_since(gone) < OWN_SHARE_KEPT_FOR;
         self.list.has(&self.me) || self.row_removed_at.is_some_and(is_kept)
     }
 
     /// Returns whether another host has a share of global limits, as far as this host
     /// knows.
-    pub fn counts(&self, now: Instant, name: &str) -> bool {
+    pub fn counts_in_bounds(&self, now: Instant, name: &str) -> bool {
         let host = self.hosts.get(name);
         self.list.has(name) || host.is_some_and(|host| host.listed && is_recent(host, now))
     }
 
     /// Returns the other hosts that may use a share of a global limit: all hosts of the
     /// list and those heard recently. `None` before the store's list has been read.
-    pub fn sharers(&self, now: Instant) -> Option<impl Iterator<Item = &HostEntry>> {
+    pub fn sharing_hosts(&self, now: Instant) -> Option<impl Iterator<Item = &HostEntry>> {
         let hosts = self.hosts.values();
         let counted =
             hosts.filter(move |host| self.list.has(&host.entry.name) || is_recent(host, now));
--- a/crates/steering/src/route/mod.rs
+++ b/crates/steering/src/route/mod.rs
@@ -6,90 +6,90 @@
 
 mod allowance;
 mod average;
+mod caller_timeouts;
 mod catalog;
 mod choice;
-mod condition;
 mod customer;
 mod document;
 mod document_change;
 mod estimate;
 mod expectation;
-mod fate;
 mod feed;
-mod groups;
+mod feed_timing;
 mod health;
-mod holding;
 mod homes;
+mod host_groups;
 mod host_list;
 mod host_message;
+mod host_table;
 mod key_hash;
-mod lead;
 mod limit;
-mod news_timing;
-mod no_room;
 mod pace;
-mod patience;
+mod poll_schedule;
 mod quantile;
-mod recent;
+mod recent_changes;
 mod region_load;
-mod roll;
+mod requirements;
+mod retry_decision;
+mod sent_objects;
 mod speed;
 mod spread;
 mod store_answers;
 mod suspect;
 mod table;
+mod unavailable;
 mod upstream;
+mod upstream_state;
 mod view;
-mod wish;
-mod zone_condition;
+mod zone_health;
 
 pub use allowance::{
     AllowanceTerms, GROUPS, KEEP_ALIVE, Spared, Stamp, Step, Take, TokenAsk, TokenBound,
     TokenGrant, TokenGroup, TokenLeases, TokenPool, TokenReply, TokenWant, group_of,
 };
+pub use caller_timeouts::CallerTimeouts;
 pub use catalog::{Catalog, CatalogChange};
 pub use choice::{Choice, choose};
-pub use condition::Condition;
-pub use customer::{Allowance, Credentials, Customer, CustomerTable, NoAccess, Sender};
-pub use document::{CallerLimits, Part, Route, RouteDocument, ServiceTerms};
+pub use customer::{Allowance, AuthError, Credentials, Customer, CustomerTable, Sender};
+pub use document::{CallerLimits, Route, RouteDocument, ServiceTerms, WeightedService};
 pub use document_change::DocumentChange;
-pub use estimate::{Estimate, Familiarity, Standing, Work};
+pub use estimate::{Affinity, Estimate, LastSent, WorkTime};
 pub use expectation::Expectation;
-pub use fate::{Fate, Sent, after};
-pub use feed::{Changes, Feed, FeedDigest, FeedVersion, News, Record};
-pub use groups::groups;
-pub use health::Answered;
-pub use holding::Holding;
-pub use homes::{object_hash, place, rank};
+pub use feed::{Changes, Feed, FeedDigest, FeedUpdate, FeedVersion, Record};
+pub use feed_timing::{
+    FeedTiming, HOST_ANSWER_LIMIT, LAPSE_PROPAGATION_LIMIT, STORE_CALL_LIMIT, max_retry_pause,
+};
+pub use health::AnswerOutcome;
+pub use homes::{object_hash, rank, unit_hash};
+pub use host_groups::host_groups;
 pub use host_list::HostList;
 pub use host_message::{HostMessage, HostReply};
+pub use host_table::{HostTable, KnownHost};
 pub use key_hash::KeyHash;
-pub use lead::{Lead, Use};
 pub use limit::{
     HOLDERS_MOST, LimitAsk, LimitAsks, LimitReply, LimitTerms, LimitTokens, PartChange, holders,
     limit_part,
 };
-pub use news_timing::{
-    HOST_ANSWER_LIMIT, LAPSES_TOLD_WITHIN, NewsTiming, STORE_CALL_LIMIT, pause_most,
-};
-pub use no_room::{Lack, NoRoom};
-pub use pace::{ColdPart, RepeatPart, Try, cold_share};
-pub use patience::Patience;
+pub use pace::{CallerAttempt, ColdSends, RetryShare, cold_share};
+pub use poll_schedule::{PollSchedule, UpdateKind};
 pub use quantile::Quantile;
-pub use recent::Recent;
+pub use recent_changes::RecentChanges;
 pub use region_load::RegionLoad;
-pub use roll::{KnownHost, Roll};
+pub use requirements::Requirements;
+pub use retry_decision::{RetryDecision, SendOutcome, decide_retry};
+pub use sent_objects::SentObjects;
 pub use speed::Speed;
-pub use spread::{PartSpread, RegionSpread, share_by_room};
-pub use store_answers::{Answering, StoreAnswers};
+pub use spread::{RegionShare, WeightedRoundRobin, share_by_capacity};
+pub use store_answers::{StoreAnswers, StoreUptime};
 pub use suspect::{
     Abandoned, Admission, ENDS_REFUSED, RefusedWork, Suspects, WorkDigest, WorkIdentity, WorkKey,
     WorkNews, WorkParts, WorkRank, WorkState, WorkTold,
 };
 pub use table::RouteTable;
+pub use unavailable::{Unavailable, UnavailableCause};
 pub use upstream::{ReportedUpstream, UpstreamId};
+pub use upstream_state::UpstreamState;
 pub use view::{
-    Conditions, Evacuations, RegionPool, RouteView, ServicePool, StatedCounts, Upstream,
+    Evacuations, ObservedState, RegionPool, RouteView, ServicePool, StatementCounts, Upstream,
 };
-pub use wish::Wish;
-pub use zone_condition::ZoneCondition;
+pub use zone_health::ZoneHealth;
--- a/crates/steering/src/route/pace.rs
+++ b/crates/steering/src/route/pace.rs
@@ -60,11 +60,11 @@
 
 /// Recent requests sent by this host to a cold upstream.
 #[derive(Debug, Default)]
-pub struct ColdPart {
+pub struct ColdSends {
     sent: EventWindow,
 }
 
-impl ColdPart {
+impl ColdSends {
     /// Returns whether another request fits into this host's share of a window.
     pub fn has_room(&mut self, now: Instant, share: usize) -> bool {
         self.sent.count(now, COLD_WINDOW) < share
@@ -78,7 +78,7 @@
 
 /// This host's share of the retries allowed for a service.
 #[derive(Debug, Default)]
-pub struct RepeatPart {
+pub struct RetryShare {
     /// Retries allowed per request.
     ratio: f64,
     /// Additional retries allowed in a window for all hosts together.
@@ -96,21 +96,21 @@
 
 /// Whether a request's caller was refused before, as far as can be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Try {
+pub enum CallerAttempt {
     /// The caller's first request; if refused, the caller tries again.
     First,
     /// A later request of the caller; if refused again, the caller gives up.
     Later,
 }
 
-impl RepeatPart {
+impl RetryShare {
     /// Creates a quota without any requests counted.
     pub fn new(ratio: f64, spare: f64, window: Duration) -> Self {
-        RepeatPart {
+        RetryShare {
             ratio,
             spare,
             window,
-            ..RepeatPart::default()
+            ..RetryShare::default()
         }
     }
 
@@ -132,21 +132,21 @@
     /// first-time callers try again by themselves. With 55 of 100 requests refused at
     /// random and callers that try again once, 18 instead of 22 of 100 stay unserved
     /// (simulated in `tests/route_pace.rs`).
-    pub fn repeat(&mut self, now: Instant, hosts: Option<usize>, of: Try) -> bool {
+    pub fn take_retry(&mut self, now: Instant, hosts: Option<usize>, of: CallerAttempt) -> bool {
         let window = self.window;
         let requests = self.requests.count(now, window) as f64;
         let most = (requests * self.ratio + share_of(self.spare, hosts)) * USED_SHARE;
-        if of == Try::Later {
+        if of == CallerAttempt::Later {
             self.late_misses.add(now);
         }
         let late_misses = self.late_misses.count(now, window) as f64;
         let early = (self.early_repeats.count(now, window) + 1) as f64;
         let fits = (self.repeats.count(now, window) + 1) as f64 <= most;
-        if !fits || (of == Try::First && early > most - late_misses) {
+        if !fits || (of == CallerAttempt::First && early > most - late_misses) {
             return false;
         }
         self.repeats.add(now);
-        if of == Try::First {
+        if of == CallerAttempt::First {
             self.early_repeats.add(now);
         }
         true
--- a/crates/steering/src/route/lead.rs
+++ b/crates/steering/src/route/poll_schedule.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::feed::FeedVersion;
-use super::news_timing::NewsTiming;
+use super::feed_timing::FeedTiming;
 use crate::ids::HostName;
 use crate::rendezvous;
 
@@ -17,15 +17,15 @@
 /// No host is elected. A host without recent knowledge polls the store and sends what it
 /// learns to the others. A host that receives updates from a higher-ranked host only
 /// listens. So the highest-ranked host that reaches the store ends up as the only one that
-/// polls. If this host vanishes, the others poll within [`Lead::stale_after`].
+/// polls. If this host vanishes, the others poll within [`PollSchedule::stale_after`].
 ///
 /// Knowledge is as old as the store's answer that it is based on, however many hosts passed
 /// it on and however long the messages took.
 #[derive(Debug)]
-pub struct Lead {
+pub struct PollSchedule {
     me: HostName,
     feed: String,
-    timing: NewsTiming,
+    timing: FeedTiming,
     /// Time at which the updates from the hosts that this host listens to were current in
     /// the store, at the earliest.
     told: Option<Instant>,
@@ -40,23 +40,23 @@
 
 /// How to handle an update of a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum UpdateKind {
     /// The update is newer than the known state.
-    Take,
+    New,
     /// The update contains nothing newer than the known state.
     Known,
     /// Changes before the update are missing.
     Gap,
 }
 
-impl Lead {
-    /// Creates the role of a host that has received nothing yet. `tightest` is the shortest
+impl PollSchedule {
+    /// Creates the role of a host that has received nothing yet. `tightest_bound` is the shortest
     /// time within which a change of the feed must take effect.
-    pub fn new(me: &str, feed: &str, tightest: Duration) -> Self {
-        Lead {
+    pub fn new(me: &str, feed: &str, tightest_bound: Duration) -> Self {
+        PollSchedule {
             me: me.to_owned(),
             feed: feed.to_owned(),
-            timing: NewsTiming { tightest },
+            timing: FeedTiming { tightest_bound },
             told: None,
             as_of: None,
             reaches_store: true,
@@ -65,8 +65,8 @@
     }
 
     /// Changes the shortest time within which a change of the feed must take effect.
-    pub fn set_tightest(&mut self, tightest: Duration) {
-        self.timing.tightest = tightest;
+    pub fn set_tightest_bound(&mut self, tightest_bound: Duration) {
+        self.timing.tightest_bound = tightest_bound;
     }
 
     /// Returns the age of the known state at which this host polls the store itself.
@@ -75,17 +75,17 @@
     }
 
     /// Returns the time between two polls.
-    pub fn pace(&self) -> Duration {
-        self.timing.pace()
+    pub fn poll_interval(&self) -> Duration {
+        self.timing.poll_interval()
     }
 
     /// Returns the time for which a poll waits for changes (long polling).
-    pub fn wait(&self) -> Duration {
-        self.timing.wait()
+    pub fn poll_wait(&self) -> Duration {
+        self.timing.poll_wait()
     }
 
     /// Returns the time for which this host need not poll the store; zero if it must.
-    pub fn rests(&self, now: Instant) -> Duration {
+    pub fn poll_delay(&self, now: Instant) -> Duration {
         match self.gap {
             true => Duration::ZERO,
             false => self
@@ -102,7 +102,7 @@
 
     /// Returns whether this host sends what it learns to others. A host that only fills a
     /// gap does not.
-    pub fn tells(&self, now: Instant) -> bool {
+    pub fn forwards_updates(&self, now: Instant) -> bool {
         self.listen_time(now).is_zero()
     }
 
@@ -135,32 +135,32 @@
     /// Records an update from the host `from` that was current in the store at `as_of`.
     /// This host listens only to higher-ranked hosts, and to any host while it can't reach
     /// the store itself.
-    pub fn told(&mut self, from: &str, used: Use, as_of: Instant) {
+    pub fn received_update(&mut self, from: &str, used: UpdateKind, as_of: Instant) {
         let first = rendezvous::owner(&self.feed, [self.me.as_str(), from]);
         if first == Some(from) || !self.reaches_store {
             self.told = self.told.max(Some(as_of));
         }
         match used {
-            Use::Gap => self.gap = true,
-            Use::Take | Use::Known => self.advance_as_of(as_of),
+            UpdateKind::Gap => self.gap = true,
+            UpdateKind::New | UpdateKind::Known => self.advance_as_of(as_of),
         }
     }
 
     /// Records that the whole state as of `as_of` was received from another host, from
     /// which further updates are expected.
-    pub fn learned(&mut self, as_of: Instant) {
+    pub fn bootstrapped(&mut self, as_of: Instant) {
         self.told = self.told.max(Some(as_of));
-        self.filled(as_of);
+        self.gap_filled(as_of);
     }
 
     /// Records that the store answered a poll, so that no changes are missing any more.
-    pub fn asked(&mut self, as_of: Instant) {
+    pub fn polled(&mut self, as_of: Instant) {
         self.reaches_store = true;
-        self.filled(as_of);
+        self.gap_filled(as_of);
     }
 
     /// Records that no changes are missing any more, without a poll of the store.
-    pub fn filled(&mut self, as_of: Instant) {
+    pub fn gap_filled(&mut self, as_of: Instant) {
         self.gap = false;
         self.advance_as_of(as_of);
     }
@@ -171,7 +171,7 @@
     }
 
     /// Records that the store gave no answer.
-    pub fn failed(&mut self) {
+    pub fn poll_failed(&mut self) {
         self.reaches_store = false;
     }
 
@@ -179,7 +179,7 @@
     /// of the store: hosts of its group that rank before it, the nearest first; none if
     /// this host ranks first. These hosts form a tree, so that a whole group can start at
     /// once and no host answers more than [`CHILDREN`] others.
-    pub fn elders<'a>(&self, group: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
+    pub fn bootstrap_hosts<'a>(&self, group: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
         let ranked = rendezvous::rank(&self.feed, group);
         let before =
             |name: &&str| rendezvous::owner(&self.feed, [self.me.as_str(), *name]) == Some(*name);
@@ -197,11 +197,11 @@
 
     /// Decides how to handle an update up to `version` if this host is at version `at`. A
     /// gap may also show later as different digests after the update is applied.
-    pub fn judge(at: Option<FeedVersion>, version: FeedVersion) -> Use {
+    pub fn classify(at: Option<FeedVersion>, version: FeedVersion) -> UpdateKind {
         match at {
-            Some(at) if version <= at => Use::Known,
-            Some(_) => Use::Take,
-            None => Use::Gap,
+            Some(at) if version <= at => UpdateKind::Known,
+            Some(_) => UpdateKind::New,
+            None => UpdateKind::Gap,
         }
     }
 }
--- a/crates/steering/src/route/recent.rs
+++ b/crates/steering/src/route/recent_changes.rs
@@ -12,7 +12,7 @@
 
 /// The newest records of a feed, in order.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentChanges {
     /// All changes after this version are buffered; `None` while the feed is unknown.
     since: Option<FeedVersion>,
     batches: VecDeque<Batch>,
@@ -26,18 +26,18 @@
     records: Vec<Record>,
 }
 
-impl Recent {
+impl RecentChanges {
     /// Clears the buffer. Changes up to `version` are available only as a complete
     /// snapshot.
-    pub fn restart(&mut self, version: FeedVersion) {
-        *self = Recent {
+    pub fn reset(&mut self, version: FeedVersion) {
+        *self = RecentChanges {
             since: Some(version),
-            ..Recent::default()
+            ..RecentChanges::default()
         };
     }
 
     /// Appends the records that led to `version`.
-    pub fn take(&mut self, version: FeedVersion, records: &[Record]) {
+    pub fn push(&mut self, version: FeedVersion, records: &[Record]) {
         if self.since.is_none() || records.is_empty() {
             return;
         }
--- a/crates/steering/src/route/wish.rs
+++ b/crates/steering/src/route/requirements.rs
@@ -8,19 +8,19 @@
 use crate::ids::HostName;
 
 /// Criteria for the selection of an upstream.
-pub struct Wish<'a> {
+pub struct Requirements<'a> {
     /// Hash of the request's object; an arbitrary number if it has none.
     pub object: u64,
     /// Whether upstreams that recently worked on the object do its work faster.
     pub by_object: bool,
     /// Response time up to which an answer has its full utility.
-    pub goal: Duration,
+    pub latency_goal: Duration,
     /// 1 for the most urgent requests of the service, less for others.
     pub urgency: f64,
     /// Upstreams that already received the request or could not be reached.
-    pub tried: &'a [UpstreamId],
+    pub excluded: &'a [UpstreamId],
     /// Typical work time of the service.
-    pub usual: Duration,
+    pub typical_work: Duration,
     /// Learned work times of this class of requests.
     pub estimate: &'a Estimate,
     /// Time since the request arrived.
@@ -29,10 +29,10 @@
     pub terms: Option<&'a ServiceTerms>,
     /// Maps the operator's limit for a cold upstream to the requests per second that it may
     /// receive from all hosts.
-    pub cold_bound: &'a dyn Fn(f64) -> f64,
+    pub cold_limit_per_s: &'a dyn Fn(f64) -> f64,
     /// Name of this host.
-    pub me: &'a str,
+    pub this_host: &'a str,
     /// Hosts that may send to the pool's cold upstreams, this one included; `None` if this
     /// host may not, or while the hosts are unknown.
-    pub near_hosts: Option<&'a [HostName]>,
+    pub region_hosts: Option<&'a [HostName]>,
 }
--- a/crates/steering/src/route/holding.rs
+++ b/crates/steering/src/route/sent_objects.rs
@@ -6,7 +6,7 @@
 use lru::LruCache;
 
 use super::average::decay;
-use super::estimate::Familiarity;
+use super::estimate::LastSent;
 
 /// Number of objects remembered per upstream, most recent first; upstreams hold some tens
 /// of objects.
@@ -18,7 +18,7 @@
 
 /// Objects by this host's own sends to one upstream.
 #[derive(Debug)]
-pub struct Holding {
+pub struct SentObjects {
     sent: LruCache<u64, Sends>,
 }
 
@@ -36,17 +36,17 @@
     }
 }
 
-impl Default for Holding {
+impl Default for SentObjects {
     fn default() -> Self {
         // The cache starts small and grows on demand: most upstreams of a large deployment
         // receive few objects.
         let mut sent = LruCache::unbounded();
         sent.resize(MAX_OBJECTS);
-        Holding { sent }
+        SentObjects { sent }
     }
 }
 
-impl Holding {
+impl SentObjects {
     /// Records that work on an object is sent.
     pub fn sent(&mut self, now: Instant, object: u64) {
         let per_s = self.per_s(now, object) + 1.0 / RATE_TIME_CONSTANT.as_secs_f64();
@@ -61,13 +61,11 @@
     }
 
     /// Returns how recently work on an object was sent to the upstream.
-    pub fn familiarity(&self, now: Instant, object: u64) -> Familiarity {
+    pub fn last_sent(&self, now: Instant, object: u64) -> LastSent {
         match self.sent.peek(&object) {
-            Some(sends) if now.saturating_duration_since(sends.last) < RECENT => {
-                Familiarity::Recent
-            }
-            Some(_) => Familiarity::Earlier,
-            None => Familiarity::Never,
+            Some(sends) if now.saturating_duration_since(sends.last) < RECENT => LastSent::Recent,
+            Some(_) => LastSent::Earlier,
+            None => LastSent::Never,
         }
     }
 }
--- a/crates/steering/src/route/spread.rs
+++ b/crates/steering/src/route/spread.rs
@@ -1,6 +1,6 @@
 //! Distributes requests over the services of a route and over regions.
 
-use super::document::Part;
+use super::document::WeightedService;
 
 /// Number of requests by which a share may deviate before the selection by object is
 /// overridden.
@@ -16,14 +16,14 @@
 /// Distributes a route's requests over its services by weight (smooth weighted round
 /// robin).
 #[derive(Debug, Default)]
-pub struct PartSpread {
+pub struct WeightedRoundRobin {
     /// Requests owed to each service so far.
     owed: Vec<f64>,
 }
 
-impl PartSpread {
+impl WeightedRoundRobin {
     /// Picks the service to which most requests are owed and returns its index.
-    pub fn pick(&mut self, parts: &[Part]) -> usize {
+    pub fn pick(&mut self, parts: &[WeightedService]) -> usize {
         let total: f64 = parts.iter().map(|part| part.weight).sum();
         if parts.len() < 2 || total <= 0.0 {
             return 0;
@@ -42,30 +42,30 @@
 
 /// Controls the share of a service's requests that stays in this host's region.
 #[derive(Debug)]
-pub struct RegionSpread {
+pub struct RegionShare {
     /// Share that stays, from 0 to 1.
     own: f64,
     /// Requests owed to the own region.
     owed: f64,
 }
 
-impl RegionSpread {
-    /// Starts with the region's share of room, see [`share_by_room`].
+impl RegionShare {
+    /// Starts with the region's share of room, see [`share_by_capacity`].
     pub fn new(by_room: f64) -> Self {
-        RegionSpread {
+        RegionShare {
             own: by_room,
             owed: 0.0,
         }
     }
 
     /// Returns the share that stays, from 0 to 1.
-    pub fn own(&self) -> f64 {
+    pub fn share(&self) -> f64 {
         self.own
     }
 
     /// Returns whether a request stays. `place` is the number from 0 to 1 derived from its
     /// object's hash, so that the same objects stay.
-    pub fn stays(&mut self, place: f64) -> bool {
+    pub fn keeps_local(&mut self, place: f64) -> bool {
         self.owed += self.own;
         let mut stays = place < self.own;
         if self.owed > MAX_DEVIATION && self.own > 0.0 {
@@ -108,7 +108,7 @@
 
 /// Returns the share of its callers' requests for which a region has room if callers are
 /// spread evenly over regions.
-pub fn share_by_room(own_room: f64, all_room: f64, regions: usize) -> f64 {
+pub fn share_by_capacity(own_room: f64, all_room: f64, regions: usize) -> f64 {
     let even = all_room / regions.max(1) as f64;
     match even > 0.0 {
         true => (own_room / even).min(1.0),
--- a/crates/steering/src/route/store_answers.rs
+++ b/crates/steering/src/route/store_answers.rs
@@ -14,7 +14,7 @@
 /// A period up to now in which the store has answered without interruption, as sent to
 /// other hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answering {
+pub struct StoreUptime {
     /// Length of the period.
     pub answering_for: Duration,
     /// Length of the outage before the period; zero if no outage is known.
@@ -68,7 +68,7 @@
 
     /// Merges what another host reports. While the store answers, an update arrives at
     /// least once per `usual_silence`.
-    pub fn told(&mut self, now: Instant, told: Answering, usual_silence: Duration) {
+    pub fn merge(&mut self, now: Instant, told: StoreUptime, usual_silence: Duration) {
         let failing = std::mem::take(&mut self.failing);
         let since = now.checked_sub(told.answering_for).unwrap_or(now);
         let Some(span) = &mut self.span else {
@@ -91,16 +91,17 @@
 
     /// Returns the period to send to other hosts, extended to now even if the store no
     /// longer answers.
-    pub fn tell(&self, now: Instant) -> Answering {
-        self.span.map_or_else(Answering::default, |span| Answering {
-            answering_for: now.saturating_duration_since(span.since),
-            away_before: span.away_before,
-        })
+    pub fn uptime(&self, now: Instant) -> StoreUptime {
+        self.span
+            .map_or_else(StoreUptime::default, |span| StoreUptime {
+                answering_for: now.saturating_duration_since(span.since),
+                away_before: span.away_before,
+            })
     }
 
     /// Returns when the store answered again after an outage; `None` if no outage is known
     /// to any host that reported.
-    pub fn back(&self) -> Option<Instant> {
+    pub fn returned_at(&self) -> Option<Instant> {
         let span = self.span?;
         (!span.away_before.is_zero()).then_some(span.since)
     }
--- a/crates/steering/src/route/no_room.rs
+++ b/crates/steering/src/route/unavailable.rs
@@ -14,47 +14,47 @@
 
 /// Cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum UnavailableCause {
     /// No upstream can be reached.
-    Reach,
+    Unreachable,
     /// All reachable upstreams have asked for rest or have just finished one.
-    Rest,
+    Resting,
     /// All reachable upstreams are at the rate limits that they declare, or rest.
-    Limit,
+    RateLimited,
     /// All upstreams that accept work are too full.
-    Room,
+    Full,
 }
 
 /// No upstream can take the request now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NoRoom {
+pub struct Unavailable {
     /// Cause of the refusal.
-    pub lack: Lack,
+    pub cause: UnavailableCause,
     /// Minimum time after which the caller may retry.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// Time span after that over which callers refused together should spread their
     /// retries.
-    pub spread: Duration,
+    pub retry_spread: Duration,
     /// Upstreams skipped because of their own statements.
     pub passed_over: Vec<UpstreamId>,
 }
 
-impl NoRoom {
+impl Unavailable {
     /// Refusal because no upstream can be reached; the caller may retry after this time.
     pub fn unreachable(come_back: Duration) -> Self {
-        NoRoom {
-            lack: Lack::Reach,
-            come_back: come_back.max(MIN_RETRY_TIME),
-            spread: Duration::ZERO,
+        Unavailable {
+            cause: UnavailableCause::Unreachable,
+            retry_after: come_back.max(MIN_RETRY_TIME),
+            retry_spread: Duration::ZERO,
             passed_over: Vec::new(),
         }
     }
 
     /// Refusal because all upstreams are full until `wait` has passed.
     pub(super) fn full(wait: Duration) -> Self {
-        NoRoom {
-            lack: Lack::Room,
-            ..NoRoom::unreachable(wait)
+        Unavailable {
+            cause: UnavailableCause::Full,
+            ..Unavailable::unreachable(wait)
         }
     }
 
@@ -62,19 +62,19 @@
     /// after a rest decides whether it is over, so callers retry one typical work time
     /// after its end, spread over another one.
     pub(super) fn resting(rest: Duration, usual: Duration) -> Self {
-        NoRoom {
-            lack: Lack::Rest,
-            spread: usual,
-            ..NoRoom::unreachable(rest + usual)
+        Unavailable {
+            cause: UnavailableCause::Resting,
+            retry_spread: usual,
+            ..Unavailable::unreachable(rest + usual)
         }
     }
 
     /// Refusal because of a rate limit with this next token.
     pub(super) fn limited(next: NextToken) -> Self {
-        NoRoom {
-            lack: Lack::Limit,
-            spread: next.spread,
-            ..NoRoom::unreachable(next.wait)
+        Unavailable {
+            cause: UnavailableCause::RateLimited,
+            retry_spread: next.spread,
+            ..Unavailable::unreachable(next.wait)
         }
     }
 
@@ -82,7 +82,7 @@
     /// treating a rest of some seconds as a lost region would move all of the region's work
     /// at once.
     pub fn is_reachable(&self) -> bool {
-        self.lack != Lack::Reach
+        self.cause != UnavailableCause::Unreachable
     }
 }
 
@@ -131,7 +131,7 @@
 
     fn add_limited(&mut self, upstream: &Upstream, wait: Duration, homes: usize) {
         if self.limited < homes && self.limit.is_none_or(|known| wait < known.wait) {
-            let spread = upstream.condition().stated.limit_turns_away();
+            let spread = upstream.state().statements.limit_turns_away();
             self.limit = Some(NextToken { wait, spread });
         }
         self.limited += 1;
--- a/crates/steering/src/route/upstream.rs
+++ b/crates/steering/src/route/upstream.rs
@@ -18,7 +18,8 @@
     /// Identity; an address may be reused by another upstream.
     pub id: UpstreamId,
     /// Start time of the process in milliseconds since 1970; `None` if not reported.
-    pub born_ms: Option<u64>,
+    #[serde(rename = "born_ms")]
+    pub started_ms: Option<u64>,
     /// Service to which the upstream belongs.
     pub service: ServiceName,
     /// Address on which the upstream listens.
@@ -37,17 +38,17 @@
     /// Returns the key of this incarnation. Knowledge about another incarnation does not
     /// apply to it.
     pub fn start(&self) -> (UpstreamId, Option<u64>) {
-        (self.id.clone(), self.born_ms)
+        (self.id.clone(), self.started_ms)
     }
 
     /// Returns the hash of this incarnation, the same on every host.
     pub fn start_hash(&self) -> u64 {
-        XxHash3_64::oneshot(format!("{} {:?}", self.id, self.born_ms).as_bytes())
+        XxHash3_64::oneshot(format!("{} {:?}", self.id, self.started_ms).as_bytes())
     }
 
     /// Returns whether this is a delayed report of an earlier incarnation than `known`.
     pub fn is_before(&self, known: &ReportedUpstream) -> bool {
-        matches!((self.born_ms, known.born_ms), (Some(own), Some(known)) if own < known)
+        matches!((self.started_ms, known.started_ms), (Some(own), Some(known)) if own < known)
     }
 
     /// Returns the hash of the report without its time-dependent fields, the same on every
@@ -55,7 +56,7 @@
     pub fn fingerprint(&self) -> u64 {
         let ReportedUpstream {
             id,
-            born_ms,
+            started_ms,
             service,
             address,
             zone,
@@ -63,7 +64,8 @@
             draining,
             ..
         } = self;
-        let text = format!("{id}\n{born_ms:?}\n{service}\n{address}\n{zone}\n{slots}\n{draining}");
+        let text =
+            format!("{id}\n{started_ms:?}\n{service}\n{address}\n{zone}\n{slots}\n{draining}");
         XxHash3_64::oneshot(text.as_bytes())
     }
 }
--- a/crates/steering/src/route/condition.rs
+++ b/crates/steering/src/route/upstream_state.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use super::average::Average;
-use super::health::{Answered, Health};
-use super::holding::Holding;
-use super::pace::ColdPart;
+use super::health::{AnswerOutcome, Health};
+use super::pace::ColdSends;
+use super::sent_objects::SentObjects;
 use super::speed::Speed;
 use super::suspect::Abandoned;
 use crate::statement::{Obstacle, Stated};
@@ -29,7 +29,7 @@
 
 /// Load and health of one incarnation of an upstream, as observed by this host.
 #[derive(Debug, Default)]
-pub struct Condition {
+pub struct UpstreamState {
     /// Requests of this host in flight to the upstream.
     in_flight: u32,
     /// Average of `in_flight` over time.
@@ -47,34 +47,34 @@
     /// Requests that were sent to the upstream and then abandoned.
     pub abandoned: Abandoned,
     /// Statements of the upstream about itself.
-    pub stated: Stated,
+    pub statements: Stated,
     /// Response time relative to the service's typical one.
     pub speed: Speed,
     /// Objects recently sent to the upstream by this host.
-    pub holding: Holding,
+    pub sent_objects: SentObjects,
     /// This host's sends within its share of the limit for a cold upstream.
-    pub cold_part: ColdPart,
+    pub cold_sends: ColdSends,
 }
 
-impl Condition {
+impl UpstreamState {
     /// Counts a request that is about to be sent.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn request_sent(&mut self, now: Instant) {
         self.own_average
             .note(now, f64::from(self.in_flight), OWN_LOAD_TIME_CONSTANT);
         self.in_flight += 1;
         if self.in_flight == 1 {
             self.unanswered_since = Some(now);
         }
-        self.stated.sent(now);
+        self.statements.sent(now);
     }
 
     /// Records the work time that a request in flight may need.
-    pub fn works_for(&mut self, work: Duration) {
+    pub fn note_expected_work(&mut self, work: Duration) {
         self.longest_work = self.longest_work.max(work);
     }
 
     /// Records the head of an answer, or its absence.
-    pub fn answered(&mut self, now: Instant, answered: Answered) {
+    pub fn answered(&mut self, now: Instant, answered: AnswerOutcome) {
         self.health.take(now, answered);
         if answered.shows_life() {
             self.unanswered_since = (self.in_flight > 0).then_some(now);
@@ -82,7 +82,7 @@
     }
 
     /// Counts a request whose answer has ended.
-    pub fn ended(&mut self, now: Instant) {
+    pub fn request_ended(&mut self, now: Instant) {
         self.own_average
             .note(now, f64::from(self.in_flight), OWN_LOAD_TIME_CONSTANT);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -93,7 +93,7 @@
     }
 
     /// Records a report of the upstream's whole load, this host's requests included.
-    pub fn reported(&mut self, now: Instant, running: u32, waiting: u32) {
+    pub fn load_reported(&mut self, now: Instant, running: u32, waiting: u32) {
         // The report may or may not count the request whose answer carries the report.
         let all = f64::from(running) + f64::from(waiting);
         let others = all - f64::from(self.in_flight);
@@ -132,9 +132,9 @@
 
     /// Returns whether a request that the upstream refused or broke off may be sent there
     /// again.
-    pub fn may_be_asked_again(&self, now: Instant) -> bool {
+    pub fn allows_retry(&self, now: Instant) -> bool {
         let bars = |obstacle: Obstacle| obstacle.is_stated();
-        !self.obstacle(now).is_some_and(bars) && self.health.may_be_asked_again(now)
+        !self.obstacle(now).is_some_and(bars) && self.health.allows_retry(now)
     }
 
     /// Returns the reason not to send a request to the upstream now. Every selection must
@@ -144,7 +144,7 @@
         let replaced = self.replaced.then_some(Obstacle::Replaced);
         let failed = || self.health.is_ejected(now).then_some(Obstacle::Failed);
         let silent = || self.is_silent(now).then_some(Obstacle::Silent);
-        let stated = replaced.or_else(|| self.stated.obstacle(now));
+        let stated = replaced.or_else(|| self.statements.obstacle(now));
         stated.or_else(failed).or_else(silent)
     }
 
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -7,16 +7,16 @@
 use std::time::{Duration, Instant};
 
 use super::catalog::Catalog;
-use super::condition::Condition;
 use super::customer::CustomerTable;
 use super::document::{RouteDocument, ServiceTerms};
 use super::feed::{FeedDigest, Record};
-use super::homes::place;
+use super::homes::unit_hash;
 use super::region_load::RegionLoad;
+use super::requirements::Requirements;
 use super::table::RouteTable;
 use super::upstream::{ReportedUpstream, UpstreamId};
-use super::wish::Wish;
-use super::zone_condition::ZoneCondition;
+use super::upstream_state::UpstreamState;
+use super::zone_health::ZoneHealth;
 use crate::ids::{HostName, RegionName, ServiceName, ZoneName};
 use crate::statement::Obstacle;
 
@@ -39,25 +39,25 @@
     pub hash: u64,
     /// End of the warm-up; `None` if the upstream is warm.
     pub cold_until: Option<Instant>,
-    condition: Arc<Mutex<Condition>>,
-    zone: Arc<Mutex<ZoneCondition>>,
+    condition: Arc<Mutex<UpstreamState>>,
+    zone: Arc<Mutex<ZoneHealth>>,
     region: Arc<Mutex<RegionLoad>>,
 }
 
 impl Upstream {
     /// Locks and returns this host's observations of the upstream.
-    pub fn condition(&self) -> MutexGuard<'_, Condition> {
+    pub fn state(&self) -> MutexGuard<'_, UpstreamState> {
         lock(&self.condition)
     }
 
     /// Locks and returns this host's observations of the upstream's zone.
-    pub fn zone(&self) -> MutexGuard<'_, ZoneCondition> {
+    pub fn zone(&self) -> MutexGuard<'_, ZoneHealth> {
         lock(&self.zone)
     }
 
     /// Records a report of the upstream's whole load.
-    pub fn reported(&self, now: Instant, running: u32, waiting: u32) {
-        self.condition().reported(now, running, waiting);
+    pub fn load_reported(&self, now: Instant, running: u32, waiting: u32) {
+        self.state().load_reported(now, running, waiting);
         let all = f64::from(running) + f64::from(waiting);
         let use_of_slots = all / f64::from(self.report.slots);
         lock(&self.region).take(now, use_of_slots);
@@ -68,14 +68,14 @@
     pub fn load(&self, now: Instant, hosts: usize) -> f64 {
         let usual = lock(&self.region).use_of_slots(now);
         let usual = usual.map(|usual| usual * f64::from(self.report.slots));
-        self.condition().load(now, hosts, usual)
+        self.state().load(now, hosts, usual)
     }
 
     /// Returns whether a request that the upstream refused or broke off may be sent there
     /// again: it has a free slot, and misses are an exception there.
-    pub fn may_be_asked_again(&self, now: Instant) -> bool {
+    pub fn allows_retry(&self, now: Instant) -> bool {
         let has_room = self.load(now, 1) < f64::from(self.report.slots);
-        has_room && self.condition().may_be_asked_again(now)
+        has_room && self.state().allows_retry(now)
     }
 
     /// Returns whether the upstream keeps an object despite the rate limit that it
@@ -83,21 +83,21 @@
     ///
     /// Objects beyond the limit go to their next homes as a whole, selected by a hash that
     /// all hosts share. A decision per request would make both homes hold the object.
-    pub fn keeps(&self, now: Instant, wish: &Wish<'_>) -> bool {
+    pub fn keeps_object(&self, now: Instant, wish: &Requirements<'_>) -> bool {
         let Some(limit) = self.recent_limit_per_s(now) else {
             return true;
         };
-        let received_per_s = self.received_per_s(now, wish.usual);
+        let received_per_s = self.received_per_s(now, wish.typical_work);
         let kept_share = (KEPT_RATE_FACTOR * limit / received_per_s * KEPT_SHARE_STEPS).ceil()
             / KEPT_SHARE_STEPS;
-        place(wish.object ^ self.hash) < kept_share
+        unit_hash(wish.object ^ self.hash) < kept_share
     }
 
     /// Returns the rate limit in requests per second if it was declared recently. Later the
     /// limit no longer moves objects: an upstream that receives nothing can't declare
     /// another limit, so its objects return and bring its current limit with the answers.
     fn recent_limit_per_s(&self, now: Instant) -> Option<f64> {
-        let limit = self.condition().stated.limit_heard(now)?;
+        let limit = self.state().statements.limit_heard(now)?;
         (limit.age < LIMIT_REASSIGNS_FOR).then_some(limit.per_s)
     }
 
@@ -111,7 +111,7 @@
 
     /// Returns the number of requests that the upstream may work on concurrently: its
     /// slots, or what its rate limit allows during a typical work time if that is less.
-    fn room(&self, now: Instant, usual: Option<Duration>) -> f64 {
+    fn capacity(&self, now: Instant, usual: Option<Duration>) -> f64 {
         let slots = f64::from(self.report.slots);
         match (self.recent_limit_per_s(now), usual) {
             (Some(per_s), Some(usual)) => slots.min(per_s * usual.as_secs_f64()),
@@ -128,8 +128,8 @@
 /// Returns whether the observations of an incarnation without a report must be kept. The
 /// report may come back, and the upstream's statements still hold then. A request in flight
 /// holds the condition as well, as its answer may bring a statement.
-fn must_be_kept(condition: &Arc<Mutex<Condition>>, now: Instant) -> bool {
-    Arc::strong_count(condition) > 1 || lock(condition).stated.is_remembered(now)
+fn must_be_kept(condition: &Arc<Mutex<UpstreamState>>, now: Instant) -> bool {
+    Arc::strong_count(condition) > 1 || lock(condition).statements.is_remembered(now)
 }
 
 fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -154,24 +154,26 @@
 
     /// Returns the number of requests that the upstreams may work on concurrently within
     /// the rate limits that they declare. `usual` is the typical work time.
-    pub fn room(&self, now: Instant, usual: Option<Duration>) -> f64 {
+    pub fn capacity(&self, now: Instant, usual: Option<Duration>) -> f64 {
         let upstreams = self.upstreams.iter();
-        upstreams.map(|upstream| upstream.room(now, usual)).sum()
+        upstreams
+            .map(|upstream| upstream.capacity(now, usual))
+            .sum()
     }
 
     /// Returns the load relative to the room; 1 is full. Unusable upstreams count as full.
     /// `hosts` is the number of hosts that send to the upstreams, `usual` the typical work
     /// time.
-    pub fn use_of_room(&self, now: Instant, hosts: usize, usual: Option<Duration>) -> f64 {
-        let room = self.room(now, usual);
+    pub fn utilization(&self, now: Instant, hosts: usize, usual: Option<Duration>) -> f64 {
+        let room = self.capacity(now, usual);
         if room == 0.0 {
             return f64::INFINITY;
         }
         let load = |upstream: &Arc<Upstream>| {
-            let is_usable = upstream.condition().is_usable(now);
+            let is_usable = upstream.state().is_usable(now);
             match is_usable {
                 true => upstream.load(now, hosts),
-                false => upstream.room(now, usual),
+                false => upstream.capacity(now, usual),
             }
         };
         self.upstreams.iter().map(load).sum::<f64>() / room
@@ -190,7 +192,7 @@
 /// Number of a service's upstreams whose statements to this host restrict the work sent to
 /// them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StatedCounts {
+pub struct StatementCounts {
     /// Upstreams that asked for rest or have just finished one.
     pub resting: usize,
     /// Upstreams that are shutting down.
@@ -201,12 +203,12 @@
 
 impl ServicePool {
     /// Counts the service's upstreams by their statements.
-    pub fn stated(&self, now: Instant) -> StatedCounts {
-        let mut counts = StatedCounts::default();
+    pub fn statement_counts(&self, now: Instant) -> StatementCounts {
+        let mut counts = StatementCounts::default();
         let pools = self.regions.values();
         for upstream in pools.flat_map(|region| &region.upstreams) {
-            let condition = upstream.condition();
-            counts.limiting += usize::from(condition.stated.limit_heard(now).is_some());
+            let condition = upstream.state();
+            counts.limiting += usize::from(condition.statements.limit_heard(now).is_some());
             match condition.obstacle(now) {
                 Some(Obstacle::Rests(_) | Obstacle::Returns) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
@@ -229,19 +231,19 @@
     /// Customers of the document.
     pub customers: Arc<CustomerTable>,
     /// Whether the upstreams' reports have been read.
-    pub upstreams_known: bool,
+    pub upstreams_loaded: bool,
     /// Whether other hosts have been asked which work they refuse.
-    pub works_known: bool,
+    pub refused_work_loaded: bool,
     /// Upstreams by service.
     pub services: Arc<HashMap<ServiceName, ServicePool>>,
     /// Caller addresses of the live hosts, by region.
     pub hosts: BTreeMap<RegionName, Vec<SocketAddr>>,
     /// Number of hosts that share the global limits, this one included; `None` until the
     /// hosts are known.
-    pub sharers: Option<usize>,
+    pub sharing_hosts: Option<usize>,
     /// Hosts of this host's region, this one included; `None` until the hosts are known.
     /// Only these hosts may send to the region's cold upstreams.
-    pub near_hosts: Option<Vec<HostName>>,
+    pub region_hosts: Option<Vec<HostName>>,
 }
 
 /// Zones that are or were evacuated.
@@ -281,11 +283,11 @@
 
 /// Observations of this host, which outlive a view.
 #[derive(Debug, Default)]
-pub struct Conditions {
+pub struct ObservedState {
     /// Each incarnation of an upstream has its own entry, even if two incarnations share an
     /// identity.
-    upstreams: HashMap<(UpstreamId, Option<u64>), Arc<Mutex<Condition>>>,
-    zones: HashMap<ZoneName, Arc<Mutex<ZoneCondition>>>,
+    upstreams: HashMap<(UpstreamId, Option<u64>), Arc<Mutex<UpstreamState>>>,
+    zones: HashMap<ZoneName, Arc<Mutex<ZoneHealth>>>,
     regions: HashMap<(ServiceName, RegionName), Arc<Mutex<RegionLoad>>>,
 }
 
@@ -294,7 +296,7 @@
     /// known, and other hosts have been asked which work they refuse, as far as they can be
     /// reached.
     pub fn is_ready(&self) -> bool {
-        self.version > 0 && self.upstreams_known && self.works_known
+        self.version > 0 && self.upstreams_loaded && self.refused_work_loaded
     }
 
     /// Builds the pools by service and region. Upstreams that drain, are in an evacuated
@@ -304,7 +306,7 @@
         catalog: &Catalog,
         evacuations: &Evacuations,
         regions: &BTreeMap<ZoneName, RegionName>,
-        conditions: &mut Conditions,
+        conditions: &mut ObservedState,
         now: Instant,
     ) -> HashMap<ServiceName, ServicePool> {
         let mut pools: HashMap<ServiceName, ServicePool> = HashMap::new();
--- a/crates/steering/src/route/zone_condition.rs
+++ b/crates/steering/src/route/zone_health.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use super::health::{Answered, ejection_time};
+use super::health::{AnswerOutcome, ejection_time};
 use super::upstream::UpstreamId;
 
 /// Number of failing upstreams of a zone, without any answer from the zone in between, from
@@ -14,7 +14,7 @@
 /// Reachability of a zone. Without this check, each upstream of a zone that lost its power
 /// would cost each host a request that waits for a connection.
 #[derive(Debug, Default)]
-pub struct ZoneCondition {
+pub struct ZoneHealth {
     /// Upstreams that have failed since the zone last answered.
     failing: BTreeSet<UpstreamId>,
     /// Number of suspicions since then.
@@ -22,27 +22,27 @@
     doubted_until: Option<Instant>,
 }
 
-impl ZoneCondition {
+impl ZoneHealth {
     /// Records the result of a request to one of the zone's upstreams.
-    pub fn answered(&mut self, now: Instant, upstream: &str, answered: Answered) {
+    pub fn answered(&mut self, now: Instant, upstream: &str, answered: AnswerOutcome) {
         match answered {
-            Answered::Whole | Answered::Refused => *self = ZoneCondition::default(),
-            Answered::Failed => self.failed(now, upstream),
+            AnswerOutcome::Complete | AnswerOutcome::Refused => *self = ZoneHealth::default(),
+            AnswerOutcome::Unreachable => self.failed(now, upstream),
             // An upstream that breaks off an answer can be reached.
-            Answered::Broken | Answered::Unknown => {}
+            AnswerOutcome::Broken | AnswerOutcome::Unknown => {}
         }
     }
 
     /// Returns whether the zone's upstreams rank after all others. The suspicion expires
     /// from time to time so that a request tests whether the zone is back.
-    pub fn is_doubted(&self, now: Instant) -> bool {
+    pub fn is_suspected_down(&self, now: Instant) -> bool {
         self.doubted_until.is_some_and(|until| until > now)
     }
 
     fn failed(&mut self, now: Instant, upstream: &str) {
         self.failing.insert(upstream.to_owned());
         // Requests sent before the suspicion began fail during it and add no evidence.
-        if self.failing.len() >= MIN_FAILING_UPSTREAMS && !self.is_doubted(now) {
+        if self.failing.len() >= MIN_FAILING_UPSTREAMS && !self.is_suspected_down(now) {
             self.doubted_until = Some(now + ejection_time(self.doubts));
             self.doubts += 1;
         }
--- a/crates/steering/tests/route_belief_age.rs
+++ b/crates/steering/tests/route_belief_age.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 use steering::rendezvous;
-use steering::route::{Lead, Use};
+use steering::route::{PollSchedule, UpdateKind};
 
 const FEED: &str = "upstreams";
 const LASTS: Duration = Duration::from_secs(60);
@@ -40,7 +40,7 @@
 }
 
 struct Host {
-    lead: Lead,
+    lead: PollSchedule,
     fault: Fault,
     /// When what it knows was true in the store; none where it knows nothing.
     truth: Option<Duration>,
@@ -89,7 +89,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let names: Vec<String> = (0..groups * GROUP_SIZE).map(|n| format!("h{n}")).collect();
         let hosts = names.iter().map(|name| Host {
-            lead: Lead::new(name, FEED, bound),
+            lead: PollSchedule::new(name, FEED, bound),
             fault: Fault::None,
             truth: None,
             still_until: Duration::ZERO,
@@ -180,7 +180,7 @@
     }
 
     fn wake(&mut self, host: usize) {
-        let rests = self.hosts[host].lead.rests(self.clock());
+        let rests = self.hosts[host].lead.poll_delay(self.clock());
         if !rests.is_zero() {
             return self.at(self.now + rests, Event::Wakes { host });
         }
@@ -195,10 +195,10 @@
         let clock = self.clock();
         let as_of = self.epoch + begun;
         let own = &mut self.hosts[host];
-        let tells = own.lead.tells(clock);
-        own.lead.asked(as_of);
+        let tells = own.lead.forwards_updates(clock);
+        own.lead.polled(as_of);
         own.truth = own.truth.max(Some(truth));
-        let pace = own.lead.pace();
+        let pace = own.lead.poll_interval();
         self.at(self.now + pace, Event::Wakes { host });
         if tells {
             let group = self.group(host);
@@ -252,10 +252,10 @@
         let as_of = self.epoch + as_of;
         let own = &mut self.hosts[host];
         let used = match own.truth {
-            Some(known) if truth <= known => Use::Known,
-            _ => Use::Take,
+            Some(known) if truth <= known => UpdateKind::Known,
+            _ => UpdateKind::New,
         };
-        own.lead.told(&self.names[from], used, as_of);
+        own.lead.received_update(&self.names[from], used, as_of);
         own.truth = own.truth.max(Some(truth));
         let group = self.group(host);
         if !group.contains(&from) {
@@ -275,7 +275,7 @@
                 let own = &mut self.hosts[host];
                 own.still_until = self.now + lasts;
                 own.truth = None;
-                own.lead = Lead::new(&self.names[host], FEED, self.bound);
+                own.lead = PollSchedule::new(&self.names[host], FEED, self.bound);
             }
             Fault::LosesPackets | Fault::None => {}
         }
--- a/crates/steering/tests/route_catalog.rs
+++ b/crates/steering/tests/route_catalog.rs
@@ -8,7 +8,7 @@
 fn report(id: &str) -> ReportedUpstream {
     ReportedUpstream {
         id: id.to_owned(),
-        born_ms: None,
+        started_ms: None,
         service: "surcos".to_owned(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "quito-norte".to_owned(),
@@ -56,8 +56,8 @@
 fn takes_a_part_in_its_order(#[case] records: Vec<Record>, #[case] listed: &[&str]) {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    catalog.take(now, &part(vec![there("a")]));
-    catalog.take(now, &part(records));
+    catalog.apply(now, &part(vec![there("a")]));
+    catalog.apply(now, &part(records));
     assert_eq!(ids(&catalog), listed);
 }
 
@@ -65,8 +65,8 @@
 fn what_a_whole_feed_lacks_is_gone() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    catalog.take(now, &part(vec![there("a"), there("b")]));
-    let taken = catalog.take(now, &whole(vec![there("b"), there("c")]));
+    catalog.apply(now, &part(vec![there("a"), there("b")]));
+    let taken = catalog.apply(now, &whole(vec![there("b"), there("c")]));
     assert_eq!(ids(&catalog), ["b", "c"]);
     assert_eq!(taken.len(), 2, "a is gone and c is new: {taken:?}");
 }
@@ -76,19 +76,19 @@
     let mut catalog = Catalog::default();
     let now = Instant::now();
     let later = |ms| now + Duration::from_millis(ms);
-    catalog.take(now, &part(vec![there("a"), there("b")]));
+    catalog.apply(now, &part(vec![there("a"), there("b")]));
     catalog.store_returned(now);
-    catalog.take(later(100), &part(vec![gone("a"), gone("b")]));
+    catalog.apply(later(100), &part(vec![gone("a"), gone("b")]));
     assert_eq!(
         ids(&catalog),
         ["a", "b"],
         "both may report themselves again"
     );
-    catalog.take(later(1_500), &part(vec![there("b")]));
+    catalog.apply(later(1_500), &part(vec![there("b")]));
     assert!(!catalog.expire(later(2_000)));
     assert!(catalog.expire(later(2_300)), "a has had its time");
     assert_eq!(ids(&catalog), ["b"]);
-    catalog.take(later(2_400), &part(vec![gone("b")]));
+    catalog.apply(later(2_400), &part(vec![gone("b")]));
     assert!(ids(&catalog).is_empty(), "the outage is over");
 }
 
@@ -96,19 +96,19 @@
 fn an_unchanged_report_changes_nothing() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    assert_eq!(catalog.take(now, &part(vec![there("a")])).len(), 1);
-    assert!(catalog.take(now, &part(vec![there("a")])).is_empty());
+    assert_eq!(catalog.apply(now, &part(vec![there("a")])).len(), 1);
+    assert!(catalog.apply(now, &part(vec![there("a")])).is_empty());
     let draining = ReportedUpstream {
         draining: true,
         ..report("a")
     };
-    let taken = catalog.take(now, &part(vec![Record::Upstream(draining)]));
+    let taken = catalog.apply(now, &part(vec![Record::Upstream(draining)]));
     assert_eq!(taken.len(), 1);
 }
 
 /// What a host that asks tells one that listens.
 fn told(teller: &mut Catalog, now: Instant, records: Vec<Record>) -> Vec<Record> {
-    let changes = teller.take(now, &part(records));
+    let changes = teller.apply(now, &part(records));
     changes.iter().map(Record::from).collect()
 }
 
@@ -140,7 +140,7 @@
         let news = told(&mut teller, now, records);
         assert_eq!(news.is_empty(), place == 1, "only what has changed is told");
         if !missed.contains(&place) {
-            listener.take(now, &part(news));
+            listener.apply(now, &part(news));
         }
     }
     assert_eq!(listener.digest() == teller.digest(), same);
@@ -152,13 +152,13 @@
     let later = |ms| now + Duration::from_millis(ms);
     let (mut teller, mut listener) = (Catalog::default(), Catalog::default());
     for catalog in [&mut teller, &mut listener] {
-        catalog.take(now, &part(vec![there("a"), there("b")]));
+        catalog.apply(now, &part(vec![there("a"), there("b")]));
         catalog.store_returned(now);
     }
     let news = told(&mut teller, later(100), vec![gone("a"), gone("b")]);
-    listener.take(later(100), &part(news));
+    listener.apply(later(100), &part(news));
     let news = told(&mut teller, later(1_000), vec![there("b")]);
-    listener.take(later(1_000), &part(news));
+    listener.apply(later(1_000), &part(news));
     assert_eq!(listener.digest(), teller.digest());
     for catalog in [&mut teller, &mut listener] {
         catalog.expire(later(2_300));
@@ -185,15 +185,15 @@
         })
     };
     let mut catalog = Catalog::default();
-    catalog.take(now, &part(vec![cold(3_000)]));
+    catalog.apply(now, &part(vec![cold(3_000)]));
     let later = now + Duration::from_millis(after_ms);
-    let taken = catalog.take(later, &part(vec![cold(left_ms)]));
+    let taken = catalog.apply(later, &part(vec![cold(left_ms)]));
     assert_eq!(taken.len(), changes);
 }
 
 fn born(id: &str, born_ms: u64) -> Record {
     Record::Upstream(ReportedUpstream {
-        born_ms: Some(born_ms),
+        started_ms: Some(born_ms),
         ..report(id)
     })
 }
@@ -202,12 +202,12 @@
 fn a_later_start_replaces_an_earlier_one_and_is_not_replaced_by_it() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    assert_eq!(catalog.take(now, &part(vec![born("i-1", 100)])).len(), 1);
-    assert_eq!(catalog.take(now, &part(vec![born("i-1", 200)])).len(), 1);
+    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 100)])).len(), 1);
+    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 200)])).len(), 1);
     let digest = catalog.digest();
-    assert_eq!(catalog.take(now, &part(vec![born("i-1", 100)])), []);
+    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 100)])), []);
     assert_eq!(catalog.digest(), digest);
-    let listed: Vec<_> = catalog.listed().map(|l| l.report.born_ms).collect();
+    let listed: Vec<_> = catalog.listed().map(|l| l.report.started_ms).collect();
     assert_eq!(listed, [Some(200)]);
 }
 
@@ -217,18 +217,18 @@
     let now = Instant::now();
     // Also shortly after an outage, when reports that vanish are waited for.
     catalog.store_returned(now);
-    catalog.take(now, &part(vec![there("i-1"), there("i-2")]));
+    catalog.apply(now, &part(vec![there("i-1"), there("i-2")]));
     let bad = Record::Unusable {
         key: "i-1".to_owned(),
         reason: "no JSON".to_owned(),
     };
-    let gone = CatalogChange::Gone {
+    let gone = CatalogChange::Removed {
         id: "i-1".to_owned(),
         at_once: true,
     };
-    assert_eq!(catalog.take(now, &part(vec![bad.clone()])), [gone]);
+    assert_eq!(catalog.apply(now, &part(vec![bad.clone()])), [gone]);
     let listed: Vec<_> = catalog.listed().map(|l| l.report.id.as_str()).collect();
     assert_eq!(listed, ["i-2"]);
-    assert_eq!(catalog.take(now, &part(vec![bad])), []);
-    assert_eq!(catalog.take(now, &part(vec![there("i-1")])).len(), 1);
+    assert_eq!(catalog.apply(now, &part(vec![bad])), []);
+    assert_eq!(catalog.apply(now, &part(vec![there("i-1")])).len(), 1);
 }
--- a/crates/steering/tests/route_choice.rs
+++ b/crates/steering/tests/route_choice.rs
@@ -7,7 +7,7 @@
 
 use route_world::{SLOTS, choose, homes, load, member, pool, service, wish};
 use rstest::rstest;
-use steering::route::{Answered, ServicePool, Upstream, Wish};
+use steering::route::{AnswerOutcome, Requirements, ServicePool, Upstream};
 
 /// A wait of 600 ms is as long as it may be: 9 more than the slots, 200 ms each, by 3.
 #[rstest]
@@ -30,7 +30,7 @@
     load(&service, &first, at_first, now);
     load(&service, &second, at_second, now);
     let full = member(&service, &first);
-    (0..sent_before).for_each(|_| full.condition().holding.sent(now, 42));
+    (0..sent_before).for_each(|_| full.state().sent_objects.sent(now, 42));
     let choice = choose(pool(&service), &wish(&service, None), now);
     match (choice, home) {
         (Ok(choice), Some(home)) => {
@@ -40,7 +40,7 @@
         (Err(no_room), None) => {
             assert!(no_room.is_reachable());
             assert!(
-                no_room.come_back >= Duration::from_millis(600),
+                no_room.retry_after >= Duration::from_millis(600),
                 "{no_room:?}"
             );
         }
@@ -73,7 +73,7 @@
             now,
         );
     }
-    let wish = Wish {
+    let wish = Requirements {
         by_object: false,
         ..wish(&service, None)
     };
@@ -97,9 +97,9 @@
     let now = Instant::now();
     let service = service(5, Duration::ZERO, now);
     let (first, second) = homes(5, now);
-    member(&service, &first).condition().holding.sent(now, 42);
+    member(&service, &first).state().sent_objects.sent(now, 42);
     if held_twice {
-        member(&service, &second).condition().holding.sent(now, 42);
+        member(&service, &second).state().sent_objects.sent(now, 42);
     }
     load(&service, &first, at_first, now);
     load(&service, &second, at_second, now);
@@ -114,10 +114,10 @@
     let service = service(5, Duration::ZERO, now);
     let (first, second) = homes(5, now);
     for id in [&first, &second] {
-        member(&service, id).condition().holding.sent(now, 42);
+        member(&service, id).state().sent_objects.sent(now, 42);
     }
     let home = member(&service, &first);
-    (0..4).for_each(|_| home.condition().speed.take(now, 4.0));
+    (0..4).for_each(|_| home.state().speed.take(now, 4.0));
     let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
     assert_eq!(choice.upstream.report.id, second);
     let later = now + Duration::from_secs(30);
@@ -135,7 +135,7 @@
     let sent = choose(pool(&service), &wish(&service, None), now).unwrap();
     let expected = sent.expectation.wait + sent.expectation.work.if_fetched;
     for _ in 0..silent {
-        sent.gave_no_answer(now, expected * 10);
+        sent.note_timeout(now, expected * 10);
     }
     let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
     assert_eq!(choice.rank, rank, "{:?}", choice.expectation);
@@ -150,7 +150,7 @@
     let service = service(5, Duration::ZERO, now);
     let (first, second) = homes(5, now);
     let home = member(&service, &first);
-    home.condition().answered(now, Answered::Failed);
+    home.state().answered(now, AnswerOutcome::Unreachable);
     let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
     assert_eq!(choice.upstream.report.id, second);
     let later = now + Duration::from_secs(20);
@@ -173,7 +173,9 @@
         .find(|o| o.report.zone != home.report.zone);
     let lose = |upstream: &Upstream| {
         for id in ["i-x", "i-y"] {
-            upstream.zone().answered(now, id, Answered::Failed);
+            upstream
+                .zone()
+                .answered(now, id, AnswerOutcome::Unreachable);
         }
     };
     lose(home);
@@ -198,7 +200,7 @@
         service(9, Duration::ZERO, now),
     );
     let home = |service: &ServicePool, object: u64| {
-        let wish = Wish {
+        let wish = Requirements {
             object,
             ..wish(service, None)
         };
@@ -245,12 +247,12 @@
     let (first, _) = homes(5, now);
     for upstream in &pool(&service).upstreams {
         if upstream.report.id != first {
-            upstream.reported(now, 1, 0);
+            upstream.load_reported(now, 1, 0);
         }
     }
     let home = member(&service, &first);
-    home.condition().sent(now);
-    home.condition().holding.sent(now, 42);
+    home.state().request_sent(now);
+    home.state().sent_objects.sent(now, 42);
     let hosts: Vec<String> = (1..=98).map(|n| format!("h{n}")).collect();
     let soon = now + Duration::from_millis(600);
     let choice = choose(pool(&service), &wish(&service, Some(&hosts)), soon).unwrap();
@@ -263,13 +265,13 @@
     let now = Instant::now();
     let service = service(4, Duration::ZERO, now);
     for upstream in &pool(&service).upstreams {
-        upstream.reported(now, 1, 0);
+        upstream.load_reported(now, 1, 0);
     }
-    let used = pool(&service).use_of_room(now, 98, None);
+    let used = pool(&service).utilization(now, 98, None);
     assert!((used - 1.0 / f64::from(SLOTS)).abs() < 0.01, "{used}");
     let lost = &pool(&service).upstreams[0];
-    lost.condition().answered(now, Answered::Failed);
-    let used = pool(&service).use_of_room(now, 98, None);
+    lost.state().answered(now, AnswerOutcome::Unreachable);
+    let used = pool(&service).utilization(now, 98, None);
     assert!(
         (used - 0.5).abs() < 0.01,
         "an unusable one counts as full: {used}"
@@ -281,7 +283,7 @@
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let (first, second) = homes(2, now);
-    member(&service, &first).condition().sent(now);
+    member(&service, &first).state().request_sent(now);
     let later = now + Duration::from_secs(2);
     let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
     assert_eq!(choice.upstream.report.id, second);
@@ -295,9 +297,9 @@
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let (first, _) = homes(2, now);
-    let mut home = member(&service, &first).condition();
-    home.sent(now);
-    home.works_for(Duration::from_millis(2_200));
+    let mut home = member(&service, &first).state();
+    home.request_sent(now);
+    home.note_expected_work(Duration::from_millis(2_200));
     drop(home);
     let later = now + Duration::from_secs(silent_s);
     let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -6,7 +6,7 @@
 
 use route_world::{GOAL, choose, homes, member, pool, service, wish};
 use rstest::rstest;
-use steering::route::{Condition, Lack, ServicePool, Wish};
+use steering::route::{Requirements, ServicePool, UnavailableCause, UpstreamState};
 use steering::statement::{LimitChange, Obstacle};
 
 const MS: Duration = Duration::from_millis(1);
@@ -14,13 +14,13 @@
 
 fn name_limit(service: &ServicePool, id: &str, now: Instant, per_s: f64) {
     let upstream = member(service, id);
-    upstream.condition().stated.limit(now, now, Some(per_s));
+    upstream.state().statements.limit(now, now, Some(per_s));
 }
 
 fn run_dry(service: &ServicePool, id: &str, now: Instant, wait: Duration) {
     name_limit(service, id, now, 4.0);
     let upstream = member(service, id);
-    upstream.condition().stated.limit_is_dry(now, wait);
+    upstream.state().statements.limit_is_dry(now, wait);
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
     assert_eq!(choice.upstream.report.id, second);
     assert_eq!(choice.passed_over, std::slice::from_ref(&first));
-    let limits = member(&service, &first).condition().obstacle(now + WAIT);
+    let limits = member(&service, &first).state().obstacle(now + WAIT);
     assert_eq!(limits, None);
 }
 
@@ -47,26 +47,32 @@
     run_dry(&service, &first, now, WAIT);
     let refused = || choose(pool(&service), &wish(&service, None), now).unwrap_err();
     let no_room = refused();
-    assert_eq!(no_room.lack, Lack::Limit);
+    assert_eq!(no_room.cause, UnavailableCause::RateLimited);
     assert!(no_room.is_reachable());
-    assert_eq!(no_room.come_back, WAIT);
+    assert_eq!(no_room.retry_after, WAIT);
     let later = refused();
-    assert!(later.spread > no_room.spread, "they come back apart");
-    let many = (0..1_000).map(|_| refused().spread).max();
+    assert!(
+        later.retry_spread > no_room.retry_spread,
+        "they come back apart"
+    );
+    let many = (0..1_000).map(|_| refused().retry_spread).max();
     assert_eq!(many, Some(Duration::from_secs(5)));
 }
 
 #[rstest]
-#[case::a_rest_ends_first(Duration::from_millis(100), Lack::Rest)]
-#[case::a_token_comes_first(Duration::from_secs(9), Lack::Limit)]
-fn of_rests_and_limits_the_earlier_end_is_told(#[case] rest: Duration, #[case] lack: Lack) {
+#[case::a_rest_ends_first(Duration::from_millis(100), UnavailableCause::Resting)]
+#[case::a_token_comes_first(Duration::from_secs(9), UnavailableCause::RateLimited)]
+fn of_rests_and_limits_the_earlier_end_is_told(
+    #[case] rest: Duration,
+    #[case] lack: UnavailableCause,
+) {
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let (first, second) = homes(2, now);
     run_dry(&service, &first, now, WAIT);
-    member(&service, &second).condition().stated.rest(now, rest);
+    member(&service, &second).state().statements.rest(now, rest);
     let no_room = choose(pool(&service), &wish(&service, None), now).unwrap_err();
-    assert_eq!(no_room.lack, lack);
+    assert_eq!(no_room.cause, lack);
 }
 
 /// A request that was chosen before the limit was heard, and waits for a connection.
@@ -78,35 +84,38 @@
     assert_eq!(choice.limit(now), None);
     let id = choice.upstream.report.id.clone();
     name_limit(&service, &id, now, 4.0);
-    assert_eq!(choice.barred(now), Some(Obstacle::Limits(Duration::ZERO)));
+    assert_eq!(
+        choice.new_obstacle(now),
+        Some(Obstacle::Limits(Duration::ZERO))
+    );
     let with_token = steering::route::Choice {
         has_token: true,
         ..choice
     };
     run_dry(&service, &id, now, WAIT);
-    assert_eq!(with_token.barred(now), None, "others have none");
-    member(&service, &id).condition().stated.leave(now);
-    assert_eq!(with_token.barred(now), Some(Obstacle::Leaves));
+    assert_eq!(with_token.new_obstacle(now), None, "others have none");
+    member(&service, &id).state().statements.leave(now);
+    assert_eq!(with_token.new_obstacle(now), Some(Obstacle::Leaves));
 }
 
 #[test]
 fn one_that_is_asked_once_more_needs_another_token() {
     let now = Instant::now();
-    let mut condition = Condition::default();
+    let mut condition = UpstreamState::default();
     for _ in 0..10 {
-        condition.answered(now, steering::route::Answered::Whole);
+        condition.answered(now, steering::route::AnswerOutcome::Complete);
     }
-    condition.stated.limit(now, now, Some(4.0));
-    assert!(condition.may_be_asked_again(now));
-    condition.stated.limit_is_dry(now, WAIT);
-    assert!(!condition.may_be_asked_again(now));
+    condition.statements.limit(now, now, Some(4.0));
+    assert!(condition.allows_retry(now));
+    condition.statements.limit_is_dry(now, WAIT);
+    assert!(!condition.allows_retry(now));
 }
 
 /// Objects that stay with their first home, of many that have it.
 fn kept(service: &ServicePool, first: &str, now: Instant) -> (Vec<u64>, usize) {
     let quiet = route_world::service(4, Duration::ZERO, now);
     let of = |service: &ServicePool, object: u64| {
-        let wish = Wish {
+        let wish = Requirements {
             object,
             ..wish(service, None)
         };
@@ -127,7 +136,7 @@
         let service = service(4, Duration::ZERO, now);
         for upstream in &pool(&service).upstreams {
             // Two of three slots: ten requests a second.
-            upstream.reported(now, 2, 0);
+            upstream.load_reported(now, 2, 0);
         }
         name_limit(&service, &first, now, per_s);
         service
@@ -154,7 +163,7 @@
     let service = service(1, Duration::ZERO, now);
     name_limit(&service, "i-0", now, 0.25);
     for object in 0..100 {
-        let wish = Wish {
+        let wish = Requirements {
             object,
             ..wish(&service, None)
         };
@@ -167,15 +176,15 @@
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let usual = Some(GOAL / 2);
-    assert_eq!(pool(&service).room(now, usual), 6.0);
+    assert_eq!(pool(&service).capacity(now, usual), 6.0);
     name_limit(&service, "i-0", now, 5.0);
-    assert_eq!(pool(&service).room(now, usual), 4.0);
+    assert_eq!(pool(&service).capacity(now, usual), 4.0);
     name_limit(&service, "i-0", now, 5_000.0);
-    assert_eq!(pool(&service).room(now, usual), 6.0);
-    assert_eq!(service.stated(now).limiting, 1);
+    assert_eq!(pool(&service).capacity(now, usual), 6.0);
+    assert_eq!(service.statement_counts(now).limiting, 1);
     // Without a token it is as full as it may be, not lost.
     run_dry(&service, "i-0", now, WAIT);
-    assert!(pool(&service).use_of_room(now, 1, usual) < 0.5);
+    assert!(pool(&service).utilization(now, 1, usual) < 0.5);
 }
 
 #[test]
@@ -185,10 +194,10 @@
     let usual = Some(GOAL / 2);
     name_limit(&service, "i-0", now, 5.0);
     let later = now + Duration::from_secs(6);
-    assert_eq!(pool(&service).room(later, usual), 6.0);
+    assert_eq!(pool(&service).capacity(later, usual), 6.0);
     let choice = member(&service, "i-0");
     assert!(
-        choice.condition().stated.limit_heard(later).is_some(),
+        choice.state().statements.limit_heard(later).is_some(),
         "it still binds"
     );
 }
@@ -203,8 +212,8 @@
     #[case] change: Option<LimitChange>,
 ) {
     let now = Instant::now();
-    let mut condition = Condition::default();
-    let stated = &mut condition.stated;
+    let mut condition = UpstreamState::default();
+    let stated = &mut condition.statements;
     let heard = now + 10 * MS;
     assert_eq!(
         stated.limit(heard, now, Some(4.8)),
@@ -221,16 +230,19 @@
 #[test]
 fn another_limit_takes_the_place_of_the_first() {
     let now = Instant::now();
-    let mut condition = Condition::default();
-    condition.stated.limit(now, now, Some(4.8));
-    condition.stated.limit_is_dry(now, WAIT);
-    let change = condition.stated.limit(now + MS, now, Some(2.0));
+    let mut condition = UpstreamState::default();
+    condition.statements.limit(now, now, Some(4.8));
+    condition.statements.limit_is_dry(now, WAIT);
+    let change = condition.statements.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
-    assert_eq!(condition.stated.limit_heard(now + MS).unwrap().per_s, 2.0);
+    assert_eq!(
+        condition.statements.limit_heard(now + MS).unwrap().per_s,
+        2.0
+    );
     assert!(
         condition.obstacle(now + MS).is_some(),
         "tokens are as scarce"
     );
-    assert!(condition.stated.is_remembered(now + WAIT));
-    assert!(!condition.stated.is_remembered(now + 100 * WAIT));
+    assert!(condition.statements.is_remembered(now + WAIT));
+    assert!(!condition.statements.is_remembered(now + 100 * WAIT));
 }
--- a/crates/steering/tests/route_document.rs
+++ b/crates/steering/tests/route_document.rs
@@ -5,7 +5,8 @@
 
 use rstest::rstest;
 use steering::route::{
-    CallerLimits, Customer, DocumentChange, KeyHash, Part, Route, RouteDocument, ServiceTerms,
+    CallerLimits, Customer, DocumentChange, KeyHash, Route, RouteDocument, ServiceTerms,
+    WeightedService,
 };
 
 const MANY: usize = 1_000;
@@ -21,7 +22,7 @@
         goal: Duration::from_millis(400),
         timeout: None,
         attempts: 2,
-        parts: vec![Part {
+        parts: vec![WeightedService {
             service: service.to_owned(),
             weight: 1.0,
         }],
--- a/crates/steering/tests/route_estimate.rs
+++ b/crates/steering/tests/route_estimate.rs
@@ -3,22 +3,25 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use steering::route::{Estimate, Familiarity, Holding, Quantile, Speed, Standing};
+use steering::route::{Affinity, Estimate, LastSent, Quantile, SentObjects, Speed};
 
 const GOAL: Duration = Duration::from_millis(250);
 const HELD: Duration = Duration::from_millis(108);
 const FETCHED: Duration = Duration::from_millis(360);
 
-fn standing(familiarity: Familiarity, rank: usize) -> Option<Standing> {
-    Some(Standing { familiarity, rank })
+fn standing(familiarity: LastSent, rank: usize) -> Option<Affinity> {
+    Some(Affinity {
+        last_sent: familiarity,
+        rank,
+    })
 }
 
 /// Fifty answers each on objects held and not held.
 fn learned() -> Estimate {
     let mut estimate = Estimate::new(GOAL);
     for _ in 0..50 {
-        estimate.learn(standing(Familiarity::Recent, 0), false, 1.0, HELD);
-        estimate.learn(standing(Familiarity::Never, 1), false, 1.0, FETCHED);
+        estimate.learn(standing(LastSent::Recent, 0), false, 1.0, HELD);
+        estimate.learn(standing(LastSent::Never, 1), false, 1.0, FETCHED);
     }
     estimate
 }
@@ -30,51 +33,54 @@
 #[test]
 fn times_on_held_and_other_objects_are_told_apart() {
     let estimate = learned();
-    let held = estimate.work(standing(Familiarity::Recent, 0), false);
-    let other = estimate.work(standing(Familiarity::Never, 1), false);
+    let held = estimate.work(standing(LastSent::Recent, 0), false);
+    let other = estimate.work(standing(LastSent::Never, 1), false);
     assert!(
         near(held.if_held, HELD) && near(held.if_fetched, FETCHED),
         "{held:?}"
     );
-    assert!(held.held > 0.9 && other.held < 0.1, "{held:?} {other:?}");
+    assert!(
+        held.hit_probability > 0.9 && other.hit_probability < 0.1,
+        "{held:?} {other:?}"
+    );
     assert!(near(held.mean(), HELD) && near(other.mean(), FETCHED));
 }
 
 #[test]
 fn a_single_odd_answer_changes_little() {
     let mut estimate = learned();
-    let before = estimate.work(standing(Familiarity::Recent, 0), false);
+    let before = estimate.work(standing(LastSent::Recent, 0), false);
     estimate.learn(
-        standing(Familiarity::Recent, 0),
+        standing(LastSent::Recent, 0),
         false,
         1.0,
         Duration::from_secs(60),
     );
-    let after = estimate.work(standing(Familiarity::Recent, 0), false);
+    let after = estimate.work(standing(LastSent::Recent, 0), false);
     assert!(near(before.if_held, after.if_held));
-    assert!(before.held - after.held < 0.1);
+    assert!(before.hit_probability - after.hit_probability < 0.1);
 }
 
 #[test]
 fn objects_that_are_forgotten_are_found_out() {
     let mut estimate = learned();
     for _ in 0..100 {
-        estimate.learn(standing(Familiarity::Earlier, 0), false, 1.0, FETCHED);
+        estimate.learn(standing(LastSent::Earlier, 0), false, 1.0, FETCHED);
     }
-    let forgotten = estimate.work(standing(Familiarity::Earlier, 0), false);
-    assert!(forgotten.held < 0.1, "{forgotten:?}");
-    let recent = estimate.work(standing(Familiarity::Recent, 0), false);
-    assert!(recent.held > 0.9, "{recent:?}");
+    let forgotten = estimate.work(standing(LastSent::Earlier, 0), false);
+    assert!(forgotten.hit_probability < 0.1, "{forgotten:?}");
+    let recent = estimate.work(standing(LastSent::Recent, 0), false);
+    assert!(recent.hit_probability > 0.9, "{recent:?}");
 }
 
 #[test]
 fn cold_upstreams_have_a_time_of_their_own() {
     let mut estimate = learned();
     for _ in 0..100 {
-        estimate.learn(standing(Familiarity::Recent, 0), true, 1.0, HELD * 3);
+        estimate.learn(standing(LastSent::Recent, 0), true, 1.0, HELD * 3);
     }
-    let cold = estimate.work(standing(Familiarity::Recent, 0), true);
-    let warm = estimate.work(standing(Familiarity::Recent, 0), false);
+    let cold = estimate.work(standing(LastSent::Recent, 0), true);
+    let warm = estimate.work(standing(LastSent::Recent, 0), false);
     assert!(near(cold.if_held, HELD * 3), "{cold:?}");
     assert!(near(warm.if_held, HELD), "{warm:?}");
 }
@@ -100,14 +106,14 @@
 #[test]
 fn what_was_sent_a_moment_ago_is_remembered_to_a_bound() {
     let now = Instant::now();
-    let mut holding = Holding::default();
-    assert_eq!(holding.familiarity(now, 1), Familiarity::Never);
+    let mut holding = SentObjects::default();
+    assert_eq!(holding.last_sent(now, 1), LastSent::Never);
     holding.sent(now, 1);
-    assert_eq!(holding.familiarity(now, 1), Familiarity::Recent);
+    assert_eq!(holding.last_sent(now, 1), LastSent::Recent);
     let later = now + Duration::from_secs(60);
-    assert_eq!(holding.familiarity(later, 1), Familiarity::Earlier);
+    assert_eq!(holding.last_sent(later, 1), LastSent::Earlier);
     (2..10_000).for_each(|object| holding.sent(later, object));
-    assert_eq!(holding.familiarity(later, 1), Familiarity::Never);
+    assert_eq!(holding.last_sent(later, 1), LastSent::Never);
 }
 
 /// Times of 1 to 100 ms in a fixed shuffled order.
--- a/crates/steering/tests/route_news_timing.rs
+++ b/crates/steering/tests/route_news_timing.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steering::route::{
-    HOST_ANSWER_LIMIT, LAPSES_TOLD_WITHIN, NewsTiming, STORE_CALL_LIMIT, pause_most,
+    FeedTiming, HOST_ANSWER_LIMIT, LAPSE_PROPAGATION_LIMIT, STORE_CALL_LIMIT, max_retry_pause,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -24,7 +24,7 @@
 /// Bounds of a deployment.
 #[derive(Debug, Clone, Copy)]
 struct Terms {
-    news: NewsTiming,
+    news: FeedTiming,
     contact: Duration,
 }
 
@@ -34,17 +34,17 @@
 /// From the store's acknowledgement to the last request that is sent on the old belief.
 const WAYS: &[Way] = &[
     ("no fault: leader, first of a group, listener", |t| {
-        t.news.pace() + HOP * 3 + IN_FLIGHT
+        t.news.poll_interval() + HOP * 3 + IN_FLIGHT
     }),
     ("the listener is busy with an earlier message", |t| {
-        t.news.pace() + HOP * 4 + IN_FLIGHT
+        t.news.poll_interval() + HOP * 4 + IN_FLIGHT
     }),
     ("too large for a message: the listener asks for it", |t| {
-        t.news.pace() + HOP * 5 + IN_FLIGHT
+        t.news.poll_interval() + HOP * 5 + IN_FLIGHT
     }),
     (
         "the same, from a teller that has ended; the store is asked",
-        |t| t.news.pace() + HOP * 3 + HOST_ANSWER_LIMIT + HOP + IN_FLIGHT,
+        |t| t.news.poll_interval() + HOP * 3 + HOST_ANSWER_LIMIT + HOP + IN_FLIGHT,
     ),
     (
         "any number of hops and late messages: the listener asks for itself",
@@ -58,7 +58,7 @@
         |t| HOP * 3 + t.news.stale_after() + HOP * 2 + IN_FLIGHT,
     ),
     ("the store forgets its history in the leader's pause", |t| {
-        t.news.pace() + HOP + WHOLE_READ + HOP * 2 + IN_FLIGHT
+        t.news.poll_interval() + HOP + WHOLE_READ + HOP * 2 + IN_FLIGHT
     }),
 ];
 
@@ -66,17 +66,17 @@
 const RETURNS: &[Way] = &[
     (
         "a call was begun just before the end, a pause follows",
-        |t| STORE_CALL_LIMIT + pause_most(t.contact) + HOP + IN_FLIGHT,
+        |t| STORE_CALL_LIMIT + max_retry_pause(t.contact) + HOP + IN_FLIGHT,
     ),
     ("the same, and its first answer comes slowly", |t| {
-        STORE_CALL_LIMIT + pause_most(t.contact) + SLOW_QUESTION + IN_FLIGHT
+        STORE_CALL_LIMIT + max_retry_pause(t.contact) + SLOW_QUESTION + IN_FLIGHT
     }),
     ("others tell, over a new session", |t| {
-        t.news.pace() + t.news.wait() + HOP * 4 + IN_FLIGHT
+        t.news.poll_interval() + t.news.poll_wait() + HOP * 4 + IN_FLIGHT
     }),
     // What vanishes from then on counts, and is not waited for any more.
     ("the store was away, and reports may have lapsed", |t| {
-        STORE_CALL_LIMIT + pause_most(t.contact) + HOP + LAPSES_TOLD_WITHIN
+        STORE_CALL_LIMIT + max_retry_pause(t.contact) + HOP + LAPSE_PROPAGATION_LIMIT
     }),
 ];
 
@@ -85,7 +85,9 @@
     #[values((2_000, 3_000), (2_500, 4_000), (3_000, 4_000), (4_000, 4_000))] bounds: (u64, u64),
 ) {
     let (tightest, contact) = (ms(bounds.0), ms(bounds.1));
-    let news = NewsTiming { tightest };
+    let news = FeedTiming {
+        tightest_bound: tightest,
+    };
     let terms = Terms { news, contact };
     for (way, takes) in WAYS {
         let takes = takes(terms);
--- a/crates/steering/tests/route_pace.rs
+++ b/crates/steering/tests/route_pace.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use steering::route::{ColdPart, Patience, RepeatPart, Try, cold_share};
+use steering::route::{CallerAttempt, CallerTimeouts, ColdSends, RetryShare, cold_share};
 
 /// Sends as many as every host's part allows for 10 s, one try each millisecond, and
 /// gives the most that arrive in any second, each up to `late_ms` late.
@@ -15,7 +15,7 @@
     let mut arrivals = Vec::new();
     let names: Vec<String> = (0..hosts).map(|host| format!("host-{host}")).collect();
     for (host, name) in names.iter().enumerate() {
-        let mut part = ColdPart::default();
+        let mut part = ColdSends::default();
         let share = cold_share(bound, "upstream-1", name, Some(&names));
         for ms in 0..10_000u64 {
             let now = begun + Duration::from_millis(ms);
@@ -56,8 +56,8 @@
 fn no_part_while_the_hosts_are_not_known() {
     let now = Instant::now();
     assert_eq!(cold_share(26.0, "upstream-1", "host-1", None), 0);
-    let mut repeats = RepeatPart::new(0.2, 58.0, Duration::from_secs(10));
-    assert!(!repeats.repeat(now, None, Try::First));
+    let mut repeats = RetryShare::new(0.2, 58.0, Duration::from_secs(10));
+    assert!(!repeats.take_retry(now, None, CallerAttempt::First));
 }
 
 #[rstest]
@@ -73,17 +73,17 @@
     #[case] repeats: usize,
 ) {
     let now = Instant::now();
-    let mut part = RepeatPart::new(0.2, spare, Duration::from_secs(10));
+    let mut part = RetryShare::new(0.2, spare, Duration::from_secs(10));
     for _ in 0..firsts {
         part.request(now);
     }
     let taken = (0..1_000)
-        .filter(|_| part.repeat(now, Some(hosts), Try::First))
+        .filter(|_| part.take_retry(now, Some(hosts), CallerAttempt::First))
         .count();
     assert_eq!(taken, repeats);
     let later = now + Duration::from_secs(11);
     assert_eq!(
-        part.repeat(later, Some(hosts), Try::First),
+        part.take_retry(later, Some(hosts), CallerAttempt::First),
         spare / hosts as f64 * 0.85 >= 1.0
     );
 }
@@ -95,7 +95,7 @@
     const CALLERS: u64 = 20_000;
     let begun = Instant::now();
     let mut chance = StdRng::seed_from_u64(7);
-    let mut part = RepeatPart::new(0.2, 0.0, Duration::from_secs(10));
+    let mut part = RetryShare::new(0.2, 0.0, Duration::from_secs(10));
     let mut returns: VecDeque<Instant> = VecDeque::new();
     let mut lost = 0;
     for ms in 0..CALLERS + 1_000 {
@@ -104,19 +104,19 @@
         let back = back
             .then(|| returns.pop_front())
             .flatten()
-            .map(|_| Try::Later);
-        let new = (ms < CALLERS).then_some(Try::First);
+            .map(|_| CallerAttempt::Later);
+        let new = (ms < CALLERS).then_some(CallerAttempt::First);
         for came in [back, new].into_iter().flatten() {
             part.request(now);
-            let told = if known { came } else { Try::First };
+            let told = if known { came } else { CallerAttempt::First };
             let mut is_served = !chance.random_bool(refused);
-            if !is_served && part.repeat(now, Some(1), told) {
+            if !is_served && part.take_retry(now, Some(1), told) {
                 is_served = !chance.random_bool(refused);
             }
             match came {
                 _ if is_served => {}
-                Try::First => returns.push_back(now + Duration::from_millis(500)),
-                Try::Later => lost += 1,
+                CallerAttempt::First => returns.push_back(now + Duration::from_millis(500)),
+                CallerAttempt::Later => lost += 1,
             }
         }
     }
@@ -142,19 +142,23 @@
 
 #[test]
 fn callers_that_came_before_state_less_time() {
-    let mut patience = Patience::default();
+    let mut patience = CallerTimeouts::default();
     let s = Duration::from_secs;
-    assert_eq!(patience.take(s(12)), Try::First);
-    assert_eq!(patience.take(s(11)), Try::Later);
-    assert_eq!(patience.take(s(12)), Try::First);
+    assert_eq!(patience.take(s(12)), CallerAttempt::First);
+    assert_eq!(patience.take(s(11)), CallerAttempt::Later);
+    assert_eq!(patience.take(s(12)), CallerAttempt::First);
     assert_eq!(
         patience.take(s(100)),
-        Try::First,
+        CallerAttempt::First,
         "one that waits far longer"
     );
-    assert_eq!(patience.take(s(12)), Try::Later);
+    assert_eq!(patience.take(s(12)), CallerAttempt::Later);
     for _ in 0..3_000 {
         patience.take(s(12));
     }
-    assert_eq!(patience.take(s(12)), Try::First, "the one is forgotten");
+    assert_eq!(
+        patience.take(s(12)),
+        CallerAttempt::First,
+        "the one is forgotten"
+    );
 }
--- a/crates/steering/tests/route_shares.rs
+++ b/crates/steering/tests/route_shares.rs
@@ -2,11 +2,12 @@
 
 use rstest::rstest;
 use steering::route::{
-    Fate, Part, PartSpread, RegionSpread, Sent, after, object_hash, place, share_by_room,
+    RegionShare, RetryDecision, SendOutcome, WeightedRoundRobin, WeightedService, decide_retry,
+    object_hash, share_by_capacity, unit_hash,
 };
 
-fn parts(weights: &[f64]) -> Vec<Part> {
-    let part = |(i, weight): (usize, &f64)| Part {
+fn parts(weights: &[f64]) -> Vec<WeightedService> {
+    let part = |(i, weight): (usize, &f64)| WeightedService {
         service: format!("s{i}"),
         weight: *weight,
     };
@@ -22,7 +23,7 @@
 fn services_get_their_weights(#[case] weights: &[f64]) {
     let parts = parts(weights);
     let total: f64 = weights.iter().sum();
-    let mut spread = PartSpread::default();
+    let mut spread = WeightedRoundRobin::default();
     let mut counts = vec![0u32; weights.len()];
     for sent in 1..=1_000u32 {
         counts[spread.pick(&parts)] += 1;
@@ -38,7 +39,7 @@
 
 #[test]
 fn new_weights_are_heeded_at_once() {
-    let mut spread = PartSpread::default();
+    let mut spread = WeightedRoundRobin::default();
     let mut before = parts(&[1.0, 0.0]);
     for _ in 0..500 {
         spread.pick(&before);
@@ -61,14 +62,14 @@
     #[case] regions: usize,
     #[case] share: f64,
 ) {
-    assert_eq!(share_by_room(own, all, regions), share);
-    assert_eq!(RegionSpread::new(share).own(), share);
+    assert_eq!(share_by_capacity(own, all, regions), share);
+    assert_eq!(RegionShare::new(share).share(), share);
 }
 
 #[test]
 fn the_share_holds_for_uneven_objects_too() {
-    let mut spread = RegionSpread::new(share_by_room(40.0, 300.0, 3));
-    let own = spread.own();
+    let mut spread = RegionShare::new(share_by_capacity(40.0, 300.0, 3));
+    let own = spread.share();
     // One object makes up half of the requests.
     let object = |i: u64| {
         object_hash(
@@ -77,7 +78,7 @@
         )
     };
     let stayed = (0..2_000)
-        .filter(|i| spread.stays(place(object(*i))))
+        .filter(|i| spread.keeps_local(unit_hash(object(*i))))
         .count();
     let share = stayed as f64 / 2_000.0;
     assert!((share - own).abs() < 0.02, "{share} instead of {own}");
@@ -102,25 +103,25 @@
     #[case] by_room: f64,
     #[case] moved: f64,
 ) {
-    let mut spread = RegionSpread::new(0.5);
+    let mut spread = RegionShare::new(0.5);
     spread.adapt(0.03, own_use, others_use, by_room);
-    let moved_by = spread.own() - 0.5;
+    let moved_by = spread.share() - 0.5;
     assert!((moved_by - moved).abs() < 1e-9, "{moved_by}");
 }
 
 #[rstest]
-#[case::not_sent(&[Sent::Not], false, true, Fate::SendAgain)]
-#[case::refused(&[Sent::Refused], false, true, Fate::SendAgain)]
-#[case::refused_no_budget(&[Sent::Refused], false, false, Fate::NotRun)]
-#[case::lost_repeatable(&[Sent::Perhaps], true, true, Fate::SendAgain)]
-#[case::lost_not_repeatable(&[Sent::Perhaps], false, true, Fate::MayHaveRun)]
-#[case::lost_then_refused(&[Sent::Perhaps, Sent::Refused], true, false, Fate::MayHaveRun)]
-#[case::nothing_tried(&[], false, false, Fate::NotRun)]
+#[case::not_sent(&[SendOutcome::Not], false, true, RetryDecision::Retry)]
+#[case::refused(&[SendOutcome::Refused], false, true, RetryDecision::Retry)]
+#[case::refused_no_budget(&[SendOutcome::Refused], false, false, RetryDecision::NotRun)]
+#[case::lost_repeatable(&[SendOutcome::Perhaps], true, true, RetryDecision::Retry)]
+#[case::lost_not_repeatable(&[SendOutcome::Perhaps], false, true, RetryDecision::MayHaveRun)]
+#[case::lost_then_refused(&[SendOutcome::Perhaps, SendOutcome::Refused], true, false, RetryDecision::MayHaveRun)]
+#[case::nothing_tried(&[], false, false, RetryDecision::NotRun)]
 fn only_what_surely_did_not_run_is_called_so(
-    #[case] sends: &[Sent],
+    #[case] sends: &[SendOutcome],
     #[case] repeatable: bool,
     #[case] may_send_again: bool,
-    #[case] fate: Fate,
+    #[case] fate: RetryDecision,
 ) {
-    assert_eq!(after(sends, repeatable, may_send_again), fate);
+    assert_eq!(decide_retry(sends, repeatable, may_send_again), fate);
 }
--- a/crates/steering/tests/route_store_answers.rs
+++ b/crates/steering/tests/route_store_answers.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use steering::route::{Answering, StoreAnswers};
+use steering::route::{StoreAnswers, StoreUptime};
 
 /// Longest time between two news while the store answers.
 const USUAL_SILENCE: Duration = Duration::from_millis(2_400);
@@ -50,15 +50,15 @@
             Answer => answers.answered(at(*ms), USUAL_SILENCE),
             NoAnswer => answers.failed(),
             Told(for_ms, away_ms) => {
-                let told = Answering {
+                let told = StoreUptime {
                     answering_for: Duration::from_millis(*for_ms),
                     away_before: Duration::from_millis(*away_ms),
                 };
-                answers.told(at(*ms), told, USUAL_SILENCE);
+                answers.merge(at(*ms), told, USUAL_SILENCE);
             }
         }
     }
-    assert_eq!(answers.back(), back_ms.map(at));
+    assert_eq!(answers.returned_at(), back_ms.map(at));
 }
 
 #[test]
@@ -66,21 +66,21 @@
     let start = Instant::now();
     let later = |ms| start + Duration::from_millis(ms);
     let mut answers = StoreAnswers::default();
-    assert_eq!(answers.tell(start), Answering::default());
+    assert_eq!(answers.uptime(start), StoreUptime::default());
     answers.answered(start, USUAL_SILENCE);
     answers.answered(later(2_000), USUAL_SILENCE);
     assert_eq!(
-        answers.tell(later(2_000)).answering_for,
+        answers.uptime(later(2_000)).answering_for,
         Duration::from_secs(2)
     );
     // Nobody asked for so long that an outage may have passed unseen.
     answers.answered(later(5_000), USUAL_SILENCE);
-    assert_eq!(answers.tell(later(5_000)), Answering::default());
+    assert_eq!(answers.uptime(later(5_000)), StoreUptime::default());
     answers.failed();
     answers.answered(later(9_000), USUAL_SILENCE);
-    let away = Answering {
+    let away = StoreUptime {
         answering_for: Duration::from_secs(1),
         away_before: Duration::from_secs(4),
     };
-    assert_eq!(answers.tell(later(10_000)), away);
+    assert_eq!(answers.uptime(later(10_000)), away);
 }
--- a/crates/steering/tests/route_table.rs
+++ b/crates/steering/tests/route_table.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use steering::route::{Part, Route, RouteDocument, RouteTable};
+use steering::route::{Route, RouteDocument, RouteTable, WeightedService};
 
 fn route(domain: &str, prefix: &str) -> Route {
     Route {
@@ -15,7 +15,7 @@
         goal: Duration::from_millis(400),
         timeout: None,
         attempts: 2,
-        parts: vec![Part {
+        parts: vec![WeightedService {
             service: "surcos".to_owned(),
             weight: 1.0,
         }],
--- a/crates/steering/tests/route_view.rs
+++ b/crates/steering/tests/route_view.rs
@@ -6,8 +6,8 @@
 
 use rstest::rstest;
 use steering::route::{
-    Catalog, Changes, Conditions, Evacuations, Record, ReportedUpstream, RouteDocument, RouteView,
-    Upstream,
+    Catalog, Changes, Evacuations, ObservedState, Record, ReportedUpstream, RouteDocument,
+    RouteView, Upstream,
 };
 use steering::statement::Obstacle;
 
@@ -17,7 +17,7 @@
 fn report(born_ms: u64, slots: u32) -> ReportedUpstream {
     ReportedUpstream {
         id: "i-1".to_owned(),
-        born_ms: Some(born_ms),
+        started_ms: Some(born_ms),
         service: "s1".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "duran".to_owned(),
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct Beliefs {
     catalog: Catalog,
-    conditions: Conditions,
+    conditions: ObservedState,
 }
 
 impl Beliefs {
@@ -42,7 +42,7 @@
             records: reports.iter().cloned().map(Record::Upstream).collect(),
             version: 1,
         };
-        self.catalog.take(now, &whole);
+        self.catalog.apply(now, &whole);
         let regions = BTreeMap::from([("duran".to_owned(), "costa".to_owned())]);
         let pools = RouteView::pools(
             &RouteDocument::default(),
@@ -73,7 +73,7 @@
     let now = Instant::now();
     let mut beliefs = Beliefs::default();
     let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    upstream.condition().stated.leave(now);
+    upstream.state().statements.leave(now);
     drop(upstream);
     let mut last = None;
     for told in told {
@@ -84,7 +84,7 @@
         last = beliefs.upstream(now, &reports);
     }
     let upstream = last.expect("it is there again");
-    assert_eq!(upstream.condition().obstacle(now), obstacle);
+    assert_eq!(upstream.state().obstacle(now), obstacle);
 }
 
 #[test]
@@ -92,11 +92,11 @@
     let now = Instant::now();
     let mut beliefs = Beliefs::default();
     let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    upstream.condition().stated.rest(now, LONG);
+    upstream.state().statements.rest(now, LONG);
     drop(upstream);
     assert!(beliefs.upstream(now, &[]).is_none());
     let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    let rests = upstream.condition().obstacle(now);
+    let rests = upstream.state().obstacle(now);
     assert_eq!(rests, Some(Obstacle::Rests(LONG)));
 }
 
@@ -108,11 +108,11 @@
     let mut beliefs = Beliefs::default();
     let in_flight = beliefs.upstream(now, &[report(1, 9)]).unwrap();
     assert!(beliefs.upstream(now, &[]).is_none());
-    in_flight.condition().stated.leave(now);
+    in_flight.state().statements.leave(now);
     drop(in_flight);
     assert!(beliefs.upstream(now, &[]).is_none());
     let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    assert_eq!(upstream.condition().obstacle(now), Some(Obstacle::Leaves));
+    assert_eq!(upstream.state().obstacle(now), Some(Obstacle::Leaves));
 }
 
 #[test]
@@ -120,9 +120,9 @@
     let now = Instant::now();
     let mut beliefs = Beliefs::default();
     let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    upstream.condition().stated.leave(now);
+    upstream.state().statements.leave(now);
     drop(upstream);
     assert!(beliefs.upstream(now + LONG, &[]).is_none());
     let upstream = beliefs.upstream(now + LONG, &[report(1, 9)]).unwrap();
-    assert_eq!(upstream.condition().obstacle(now + LONG), None);
+    assert_eq!(upstream.state().obstacle(now + LONG), None);
 }
--- a/crates/steering/tests/route_world/mod.rs
+++ b/crates/steering/tests/route_world/mod.rs
@@ -5,8 +5,9 @@
 use std::time::{Duration, Instant};
 
 use steering::route::{
-    Catalog, Changes, Choice, Conditions, Estimate, Evacuations, NoRoom, Record, RegionPool,
-    ReportedUpstream, RouteDocument, RouteView, ServicePool, ServiceTerms, Upstream, Wish,
+    Catalog, Changes, Choice, Estimate, Evacuations, ObservedState, Record, RegionPool,
+    ReportedUpstream, Requirements, RouteDocument, RouteView, ServicePool, ServiceTerms,
+    Unavailable, Upstream,
 };
 
 pub const SLOTS: u32 = 3;
@@ -14,7 +15,7 @@
 pub fn report(number: usize, cold_for: Duration) -> ReportedUpstream {
     ReportedUpstream {
         id: format!("i-{number}"),
-        born_ms: None,
+        started_ms: None,
         service: "s1".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: ["duran", "puerto"][number % 2].to_owned(),
@@ -33,7 +34,7 @@
         records: records.collect(),
         version: 1,
     };
-    catalog.take(now, &changes);
+    catalog.apply(now, &changes);
     let terms = ServiceTerms {
         connections: 100,
         warm_up: Duration::from_secs(3),
@@ -51,7 +52,7 @@
         &catalog,
         &Evacuations::default(),
         &regions,
-        &mut Conditions::default(),
+        &mut ObservedState::default(),
         now,
     );
     pools.remove("s1").unwrap()
@@ -60,20 +61,20 @@
 /// The goal of all requests here.
 pub const GOAL: Duration = Duration::from_millis(400);
 
-pub fn wish<'a>(service: &'a ServicePool, hosts: Option<&'a [String]>) -> Wish<'a> {
-    Wish {
+pub fn wish<'a>(service: &'a ServicePool, hosts: Option<&'a [String]>) -> Requirements<'a> {
+    Requirements {
         object: 42,
         by_object: true,
-        goal: GOAL,
+        latency_goal: GOAL,
         urgency: 1.0,
-        tried: &[],
-        usual: Duration::from_millis(200),
+        excluded: &[],
+        typical_work: Duration::from_millis(200),
         estimate: Box::leak(Box::new(Estimate::new(GOAL))),
         elapsed: Duration::ZERO,
         terms: service.terms.as_ref(),
-        cold_bound: &|bears| bears,
-        me: "h1",
-        near_hosts: hosts,
+        cold_limit_per_s: &|bears| bears,
+        this_host: "h1",
+        region_hosts: hosts,
     }
 }
 
@@ -89,13 +90,17 @@
 }
 
 pub fn load(service: &ServicePool, id: &str, requests: u32, now: Instant) {
-    member(service, id).condition().reported(now, requests, 0);
+    member(service, id).state().load_reported(now, requests, 0);
 }
 
 /// Chooses for a request that is sent then.
-pub fn choose(pool: &RegionPool, wish: &Wish<'_>, now: Instant) -> Result<Choice, NoRoom> {
+pub fn choose(
+    pool: &RegionPool,
+    wish: &Requirements<'_>,
+    now: Instant,
+) -> Result<Choice, Unavailable> {
     let choice = steering::route::choose(pool, wish, now)?;
-    choice.begin(now, wish.by_object.then_some(wish.object));
+    choice.note_sent(now, wish.by_object.then_some(wish.object));
     Ok(choice)
 }
 
@@ -106,8 +111,8 @@
     let first = choose(pool(service), &wish(service, None), now).unwrap();
     let first = first.upstream.report.id.clone();
     let tried = [first.clone()];
-    let rest = Wish {
-        tried: &tried,
+    let rest = Requirements {
+        excluded: &tried,
         ..wish(service, None)
     };
     let second = choose(pool(service), &rest, now).unwrap();
