--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use steering::route::{Answered, Condition};
+use steering::route::{AnswerOutcome, UpstreamState};
 use steering::statement::{Obstacle, Stated};
 
 const MS: Duration = Duration::from_millis(1);
@@ -11,56 +11,56 @@
 /// Work that is over soon.
 const WORK: Duration = Duration::from_millis(200);
 
-fn send(condition: &mut Condition, at: Instant) -> Instant {
-    condition.sent(at);
+fn send(condition: &mut UpstreamState, at: Instant) -> Instant {
+    condition.request_sent(at);
     at
 }
 
 /// The head of an answer to what was sent at `sent`, as a host takes it.
-fn answer(condition: &mut Condition, sent: Instant, at: Instant, answered: Answered) {
+fn answer(condition: &mut UpstreamState, sent: Instant, at: Instant, answered: AnswerOutcome) {
     condition.answered(at, answered);
     if answered.shows_life() {
-        condition.stated.answered(sent);
+        condition.statements.answered(sent);
     }
-    condition.stated.unanswered(sent);
-    condition.ended(at);
+    condition.statements.unanswered(sent);
+    condition.request_ended(at);
 }
 
 /// What may come after a statement, and must not undo it.
 #[rstest]
-#[case::an_answer(Answered::Whole)]
-#[case::a_refusal(Answered::Refused)]
-#[case::a_failure(Answered::Failed)]
-#[case::a_broken_answer(Answered::Broken)]
-#[case::a_caller_that_left(Answered::Unknown)]
-fn what_comes_of_earlier_requests_undoes_no_statement(#[case] answered: Answered) {
+#[case::an_answer(AnswerOutcome::Complete)]
+#[case::a_refusal(AnswerOutcome::Refused)]
+#[case::a_failure(AnswerOutcome::Unreachable)]
+#[case::a_broken_answer(AnswerOutcome::Broken)]
+#[case::a_caller_that_left(AnswerOutcome::Unknown)]
+fn what_comes_of_earlier_requests_undoes_no_statement(#[case] answered: AnswerOutcome) {
     let now = Instant::now();
-    let mut condition = Condition::default();
+    let mut condition = UpstreamState::default();
     let sent = send(&mut condition, now);
-    condition.stated.rest(now + MS, REST);
+    condition.statements.rest(now + MS, REST);
     answer(&mut condition, sent, now + 2 * MS, answered);
     let obstacle = condition.obstacle(now + 3 * MS);
     assert_eq!(obstacle, Some(Obstacle::Rests(REST - 2 * MS)));
-    condition.stated.leave(now + 3 * MS);
+    condition.statements.leave(now + 3 * MS);
     let sent = send(&mut condition, now);
     answer(&mut condition, sent, now + REST, answered);
     let much_later = now + 1_000 * REST;
     assert_eq!(condition.obstacle(much_later), Some(Obstacle::Leaves));
-    assert!(!condition.may_be_asked_again(much_later));
+    assert!(!condition.allows_retry(much_later));
 }
 
 #[test]
 fn a_rest_does_not_grow_with_failures_and_a_pause_not_with_rests() {
     let now = Instant::now();
-    let mut condition = Condition::default();
-    condition.stated.rest(now, REST);
+    let mut condition = UpstreamState::default();
+    condition.statements.rest(now, REST);
     for _ in 0..10 {
-        condition.answered(now, Answered::Refused);
-        condition.stated.rest(now, REST);
+        condition.answered(now, AnswerOutcome::Refused);
+        condition.statements.rest(now, REST);
     }
     assert_eq!(condition.obstacle(now), Some(Obstacle::Rests(REST)));
     assert_eq!(condition.obstacle(now + REST), None);
-    condition.answered(now + REST, Answered::Failed);
+    condition.answered(now + REST, AnswerOutcome::Unreachable);
     assert_eq!(condition.obstacle(now + REST), Some(Obstacle::Failed));
     assert_eq!(condition.obstacle(now + REST + 500 * MS), None);
 }
@@ -89,30 +89,30 @@
 
 /// How the first request after a rest ends, and whether the next may be sent at once.
 #[rstest]
-#[case::answered(Answered::Whole, None, None)]
-#[case::full(Answered::Refused, None, None)]
-#[case::rests_again(Answered::Refused, Some(REST), Some(Obstacle::Rests(REST)))]
-#[case::not_reached(Answered::Failed, None, Some(Obstacle::Failed))]
-#[case::broken(Answered::Broken, None, None)]
-#[case::its_caller_left(Answered::Unknown, None, None)]
+#[case::answered(AnswerOutcome::Complete, None, None)]
+#[case::full(AnswerOutcome::Refused, None, None)]
+#[case::rests_again(AnswerOutcome::Refused, Some(REST), Some(Obstacle::Rests(REST)))]
+#[case::not_reached(AnswerOutcome::Unreachable, None, Some(Obstacle::Failed))]
+#[case::broken(AnswerOutcome::Broken, None, None)]
+#[case::its_caller_left(AnswerOutcome::Unknown, None, None)]
 fn the_first_answer_after_a_rest_decides(
-    #[case] answered: Answered,
+    #[case] answered: AnswerOutcome,
     #[case] rest: Option<Duration>,
     #[case] obstacle: Option<Obstacle>,
 ) {
     let now = Instant::now();
-    let mut condition = Condition::default();
+    let mut condition = UpstreamState::default();
     let earlier = send(&mut condition, now);
-    condition.stated.rest(now, REST);
+    condition.statements.rest(now, REST);
     let over = now + REST;
     let trial = send(&mut condition, over);
     assert_eq!(condition.obstacle(over), Some(Obstacle::Returns));
-    answer(&mut condition, earlier, over + MS, Answered::Whole);
+    answer(&mut condition, earlier, over + MS, AnswerOutcome::Complete);
     let still = condition.obstacle(over + MS);
     assert_eq!(still, Some(Obstacle::Returns), "an earlier answer");
     let ended = over + WORK;
     if let Some(rest) = rest {
-        condition.stated.rest(ended, rest);
+        condition.statements.rest(ended, rest);
     }
     answer(&mut condition, trial, ended, answered);
     assert_eq!(condition.obstacle(ended), obstacle);
@@ -129,15 +129,15 @@
     let mut sent_at_once = 0;
     let mut sent_later = 0;
     for _ in 0..HOSTS {
-        let mut condition = Condition::default();
-        condition.stated.rest(now, REST);
+        let mut condition = UpstreamState::default();
+        condition.statements.rest(now, REST);
         for _ in 0..WAITING {
             if condition.is_usable(over) {
                 send(&mut condition, over);
                 sent_at_once += 1;
             }
         }
-        answer(&mut condition, over, over + WORK, Answered::Whole);
+        answer(&mut condition, over, over + WORK, AnswerOutcome::Complete);
         for _ in 0..WAITING {
             if condition.is_usable(over + WORK) {
                 send(&mut condition, over + WORK);
