--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -5,7 +5,9 @@
 
 use peer::{FeedState, StateQuery, ask_state};
 use steering::membership::HostEntry;
-use steering::route::{Changes, Feed, FeedVersion, Lead, News, Record, Use, pause_most};
+use steering::route::{
+    Changes, Feed, FeedUpdate, FeedVersion, PollSchedule, Record, UpdateKind, max_retry_pause,
+};
 use store::RecordError;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -23,7 +25,7 @@
 /// Result of a call to the store.
 pub(super) enum PollOutcome {
     /// An update to send to other hosts.
-    Update(News),
+    Update(FeedUpdate),
     /// The store answered without the wanted records. Call it again at once: waiting for the next
     /// poll would take up to half of the time within which changes must be applied.
     Repeat,
@@ -41,7 +43,9 @@
         spawn_local(Rc::clone(&self).fill_gaps(feed));
         loop {
             let shortest_bound = shortest_bound(feed, &self.common.bounds());
-            self.with_follower(feed, |follower| follower.lead.set_tightest(shortest_bound));
+            self.with_follower(feed, |follower| {
+                follower.lead.set_tightest_bound(shortest_bound)
+            });
             let delay = self.with_follower(feed, |follower| follower.delay(clock::now()));
             if !delay.is_zero() {
                 self.wait_for_update(feed, delay, Wait::Update).await;
@@ -52,7 +56,7 @@
                 PollOutcome::Repeat => continue,
                 PollOutcome::NoUpdate => {}
             }
-            let interval = self.with_follower(feed, |follower| follower.lead.pace());
+            let interval = self.with_follower(feed, |follower| follower.lead.poll_interval());
             self.wait_for_update(feed, interval, Wait::PollInterval)
                 .await;
         }
@@ -83,7 +87,10 @@
             follower.record_wait(Wait::Turn, started_at)
         });
         let (delay, forwards) = self.with_follower(feed, |follower| {
-            (follower.lead.rests(now), follower.lead.tells(now))
+            (
+                follower.lead.poll_delay(now),
+                follower.lead.forwards_updates(now),
+            )
         });
         if !delay.is_zero() {
             return PollOutcome::NoUpdate;
@@ -100,8 +107,9 @@
     /// Calls the store. Reads the changes since the known version, or the whole feed if no version
     /// is known.
     pub(super) async fn poll_store(&self, feed: Feed) -> PollOutcome {
-        let (version, wait) =
-            self.with_follower(feed, |follower| (follower.version, follower.lead.wait()));
+        let (version, wait) = self.with_follower(feed, |follower| {
+            (follower.version, follower.lead.poll_wait())
+        });
         // During an outage a long poll would delay detecting that the store is back.
         let wait = if self.outage.is_active() {
             Duration::ZERO
@@ -171,7 +179,7 @@
             }
             Some(_) => {
                 self.outage
-                    .record_failure(pause_most(self.common.bounds().reconnect_time));
+                    .record_failure(max_retry_pause(self.common.bounds().reconnect_time));
                 known_state.store_failed();
             }
         }
@@ -207,7 +215,7 @@
                     self.apply(feed, changes, Origin { source, as_of });
                     self.with_follower(feed, |follower| {
                         follower.advance(version);
-                        follower.lead.filled(as_of);
+                        follower.lead.gap_filled(as_of);
                     });
                     return;
                 }
@@ -248,7 +256,7 @@
     }
 
     /// Applies an answer of the store. Returns the update for other hosts.
-    fn apply_answer(&self, feed: Feed, changes: Changes, as_of: Instant) -> News {
+    fn apply_answer(&self, feed: Feed, changes: Changes, as_of: Instant) -> FeedUpdate {
         let (version, whole) = (changes.version, changes.whole);
         self.with_follower(feed, |follower| follower.store_answered(version, as_of));
         let source = Source::Store;
@@ -265,15 +273,15 @@
         feed: Feed,
         version: FeedVersion,
         records: Vec<Record>,
-    ) -> News {
+    ) -> FeedUpdate {
         let now = clock::now();
         let as_of = self.with_follower(feed, |follower| follower.lead.as_of());
         let known_state = self.known_state.borrow();
-        News {
+        FeedUpdate {
             feed,
             version,
             digest: known_state.digest(feed),
-            store: known_state.store_answers(now),
+            store_uptime: known_state.store_answers(now),
             // Updates are sent only after records were received from the store, or from a host that
             // had them from the store, so the age is known.
             as_of: as_of.unwrap_or(now),
@@ -283,21 +291,21 @@
 
     /// Applies an update from another host. If records are missing, requests them from that host,
     /// and from the store if the host does not have them.
-    pub(super) fn receive_update(&self, from: &HostEntry, update: News) {
+    pub(super) fn receive_update(&self, from: &HostEntry, update: FeedUpdate) {
         let feed = update.feed;
         let now = clock::now();
         let version = self.with_follower(feed, |follower| follower.version);
-        let mut kind = Lead::judge(version, update.version);
+        let mut kind = PollSchedule::classify(version, update.version);
         let mut applied = Vec::new();
         let stale_after = self.with_follower(feed, |follower| follower.lead.stale_after());
         let mut known_state = self.known_state.borrow_mut();
-        known_state.store_reported(now, &from.name, update.store, stale_after);
+        known_state.store_reported(now, &from.name, update.store_uptime, stale_after);
         let dropped = known_state.has_overdue_reports(now) && known_state.expire(now);
         drop(known_state);
         if dropped {
             self.publish();
         }
-        if kind == Use::Take {
+        if kind == UpdateKind::New {
             let changes = Changes {
                 whole: false,
                 records: update.records,
@@ -315,7 +323,7 @@
                     });
                 }
                 false => {
-                    kind = Use::Gap;
+                    kind = UpdateKind::Gap;
                     self.with_follower(feed, |follower| {
                         follower.hold_back(std::mem::take(&mut applied))
                     });
@@ -329,7 +337,7 @@
         self.with_follower(feed, |follower| {
             follower.receive_update(kind, update.version, update.as_of, missing);
         });
-        if kind != Use::Gap {
+        if kind != UpdateKind::Gap {
             self.forward_to_group(&from.name, feed, applied);
         }
     }
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -6,7 +6,8 @@
 
 use steering::membership::HostEntry;
 use steering::route::{
-    Feed, FeedDigest, FeedVersion, HOST_ANSWER_LIMIT, Lead, Recent, Record, Use,
+    Feed, FeedDigest, FeedVersion, HOST_ANSWER_LIMIT, PollSchedule, RecentChanges, Record,
+    UpdateKind,
 };
 use store::RecordError;
 use tokio::sync::Notify;
@@ -46,9 +47,9 @@
     /// Start of the first call that failed since the store was last heard from, directly or through
     /// another host; none if no call failed.
     store_lost_since: Option<Instant>,
-    pub lead: Lead,
+    pub lead: PollSchedule,
     /// Recently applied records, for hosts that lack some of them.
-    pub recent: Recent,
+    pub recent: RecentChanges,
     /// Notified when records are missing.
     pub gap: Rc<Notify>,
     /// Notified when the request to another host for missing records has completed.
@@ -74,10 +75,10 @@
             age,
             longest_wait: LongestWait::default(),
             store_lost_since: None,
-            recent: Recent::default(),
+            recent: RecentChanges::default(),
             held_back: Vec::new(),
             missing: None,
-            lead: Lead::new(
+            lead: PollSchedule::new(
                 &settings.host,
                 &feed.to_string(),
                 shortest_bound(feed, &settings.bounds),
@@ -96,7 +97,7 @@
 
     /// Renews the age of the feed's state. Logs the age and the longest wait if the state had
     /// become stale.
-    fn renew(&mut self, source: Source, renew_schedule: impl FnOnce(&mut Lead)) {
+    fn renew(&mut self, source: Source, renew_schedule: impl FnOnce(&mut PollSchedule)) {
         let now = clock::now();
         let age = self.lead.age(now).unwrap_or_default();
         let longest = self.longest_wait.take();
@@ -118,7 +119,7 @@
 
     /// Records an answer of the store that was valid at `as_of`.
     pub fn store_answered(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::Store, |lead| lead.asked(as_of));
+        self.renew(Source::Store, |lead| lead.polled(as_of));
         self.advance(version);
         self.missing = None;
         if let Some(since) = self.store_lost_since.take() {
@@ -134,13 +135,13 @@
 
     /// Records that the whole feed up to `version` was read from another host.
     pub fn loaded(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.learned(as_of));
+        self.renew(Source::State, |lead| lead.bootstrapped(as_of));
         self.advance(version);
     }
 
     /// Records that another host has provided the missing records up to `version`.
     pub fn gap_filled(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.filled(as_of));
+        self.renew(Source::State, |lead| lead.gap_filled(as_of));
         self.advance(version);
         self.had_gap = false;
     }
@@ -156,8 +157,8 @@
         let mut records = std::mem::take(&mut self.held_back);
         records.extend(applied);
         match whole {
-            true => self.recent.restart(version),
-            false => self.recent.take(version, &records),
+            true => self.recent.reset(version),
+            false => self.recent.push(version, &records),
         }
         records
     }
@@ -191,7 +192,7 @@
                 .fresh_for(now)
                 .unwrap_or(GAP_TIMEOUT)
                 .min(GAP_TIMEOUT),
-            false => self.lead.rests(now),
+            false => self.lead.poll_delay(now),
         }
     }
 
@@ -199,7 +200,7 @@
     /// there is a gap.
     pub fn receive_update(
         &mut self,
-        kind: Use,
+        kind: UpdateKind,
         version: FeedVersion,
         as_of: Instant,
         missing: Missing,
@@ -208,14 +209,16 @@
         self.store_lost_since = None;
         let from = &missing.sender.name;
         match kind {
-            Use::Known => self.renew(Source::News, |lead| lead.told(from, kind, as_of)),
-            Use::Take => {
-                self.renew(Source::News, |lead| lead.told(from, kind, as_of));
+            UpdateKind::Known => {
+                self.renew(Source::News, |lead| lead.received_update(from, kind, as_of))
+            }
+            UpdateKind::New => {
+                self.renew(Source::News, |lead| lead.received_update(from, kind, as_of));
                 self.advance(version);
                 self.had_gap = false;
             }
-            Use::Gap => {
-                self.lead.told(from, kind, as_of);
+            UpdateKind::Gap => {
+                self.lead.received_update(from, kind, as_of);
                 tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.had_gap);
                 if std::mem::replace(&mut self.had_gap, true) {
                     self.version = None;
@@ -233,7 +236,7 @@
             self.version = None;
             return;
         }
-        self.lead.failed();
+        self.lead.poll_failed();
         if self.store_lost_since.is_none() {
             tracing::warn!(event = "store_lost", feed = %self.feed, %error);
             self.store_lost_since = Some(started_at);
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -7,7 +7,7 @@
 use steering::ids::HostName;
 use steering::membership::HostEntry;
 use steering::rendezvous;
-use steering::route::{Feed, News, Record, Roll, groups};
+use steering::route::{Feed, FeedUpdate, HostTable, Record, host_groups};
 
 use super::Control;
 use super::hosts::HEARTBEAT_TIMEOUT;
@@ -20,7 +20,7 @@
 impl Control {
     /// Sends an update from the store to every host of the own group, and to one host of each other
     /// group, which passes it on.
-    pub(super) fn send_to_all_groups(&self, update: &News) {
+    pub(super) fn send_to_all_groups(&self, update: &FeedUpdate) {
         let mut receivers = self.group();
         receivers.extend(self.first_hosts(update.feed));
         self.send_update(update, &receivers);
@@ -40,7 +40,7 @@
     /// Sends the own group an update that this host polled because records were missing. If there
     /// are several groups, only the first host of a group does so, since other groups rely on it to
     /// pass updates on.
-    pub(super) fn send_to_own_group(&self, update: &News) {
+    pub(super) fn send_to_own_group(&self, update: &FeedUpdate) {
         let group = self.group();
         let hosts = group.iter().chain([&self.me]);
         let is_first = first_ranked(&update.feed.to_string(), hosts) == Some(&self.me);
@@ -49,7 +49,7 @@
         }
     }
 
-    fn send_update(&self, update: &News, receivers: &[HostEntry]) {
+    fn send_update(&self, update: &FeedUpdate, receivers: &[HostEntry]) {
         let feed = update.feed;
         let update = Rc::new(EncodedNews::new(update, MAX_UPDATE_BYTES, clock::now()));
         for host in receivers {
@@ -86,9 +86,9 @@
         self.groups(&self.known_state.borrow().roll).len() == 1
     }
 
-    fn groups<'a>(&'a self, roll: &'a Roll) -> Vec<Vec<&'a HostEntry>> {
+    fn groups<'a>(&'a self, roll: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
         let others = roll.known().map(|host| &host.entry);
-        groups(others.chain([&self.me]), &self.common.settings.regions)
+        host_groups(others.chain([&self.me]), &self.common.settings.regions)
     }
 
     /// A client of a host; none while a message to the host is in flight.
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -16,7 +16,7 @@
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
 use steering::membership::{Heartbeat, HostEntry};
 use steering::rendezvous;
-use steering::route::{Changes, Feed, HostMessage, HostReply, News, Record};
+use steering::route::{Changes, Feed, FeedUpdate, HostMessage, HostReply, Record};
 use store::{HOSTS_TABLE, OwnRow, PEER_KEY_ROW};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -305,7 +305,9 @@
         } = &beat.heartbeat;
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
-        let changed = known_state.roll.hear(now, host, *incarnation, *leaving);
+        let changed = known_state
+            .roll
+            .record_heartbeat(now, host, *incarnation, *leaving);
         let version = known_state.version();
         drop(known_state);
         if changed {
@@ -322,10 +324,12 @@
         Position::default()
     }
 
-    fn news(&self, from: &HostEntry, incarnation: Incarnation, update: News) {
+    fn news(&self, from: &HostEntry, incarnation: Incarnation, update: FeedUpdate) {
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
-        known_state.roll.hear(now, from, incarnation, false);
+        known_state
+            .roll
+            .record_heartbeat(now, from, incarnation, false);
         drop(known_state);
         self.0.receive_update(from, update);
     }
@@ -334,7 +338,7 @@
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
             .roll
-            .hear(clock::now(), from, incarnation, false);
+            .record_heartbeat(clock::now(), from, incarnation, false);
         drop(known_state);
         match ask {
             HostMessage::Tokens(ask) => HostReply::Tokens(self.0.lend(&from.name, &ask)),
--- a/crates/gateway/src/control/known_state.rs
+++ b/crates/gateway/src/control/known_state.rs
@@ -7,9 +7,9 @@
 
 use steering::ids::{HostName, RegionName, ServiceName, ZoneName};
 use steering::route::{
-    Answering, Catalog, CatalogChange, Changes, Conditions, CustomerTable, DocumentChange,
-    Evacuations, Feed, FeedDigest, Record, Roll, RouteDocument, RouteTable, RouteView, ServicePool,
-    StoreAnswers,
+    Catalog, CatalogChange, Changes, CustomerTable, DocumentChange, Evacuations, Feed, FeedDigest,
+    HostTable, ObservedState, Record, RouteDocument, RouteTable, RouteView, ServicePool,
+    StoreAnswers, StoreUptime,
 };
 
 use super::origin::Origin;
@@ -31,8 +31,8 @@
     evacuations: Evacuations,
     catalog: Catalog,
     store: StoreAnswers,
-    conditions: Conditions,
-    pub roll: Roll,
+    conditions: ObservedState,
+    pub roll: HostTable,
     /// Upstreams by service; none while they have to be computed again.
     pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
     /// Whether the upstreams' reports had been read when the last view was made.
@@ -59,8 +59,8 @@
             evacuations: Evacuations::default(),
             catalog: Catalog::default(),
             store: StoreAnswers::default(),
-            conditions: Conditions::default(),
-            roll: Roll::new(&common.settings.host),
+            conditions: ObservedState::default(),
+            roll: HostTable::new(&common.settings.host),
             pools: None,
             upstreams_loaded: false,
             refused_work_loaded: false,
@@ -90,20 +90,20 @@
         &mut self,
         now: Instant,
         from: &str,
-        reported: Answering,
+        reported: StoreUptime,
         stale_after: Duration,
     ) {
-        self.store.told(now, reported, stale_after);
+        self.store.merge(now, reported, stale_after);
         self.record_store_recovery(from);
     }
 
     /// This host's account of the store's availability, as sent to other hosts.
-    pub fn store_answers(&self, now: Instant) -> Answering {
-        self.store.tell(now)
+    pub fn store_answers(&self, now: Instant) -> StoreUptime {
+        self.store.uptime(now)
     }
 
     fn record_store_recovery(&mut self, seen_by: &str) {
-        let (before, recovered) = (self.catalog.store_back(), self.store.back());
+        let (before, recovered) = (self.catalog.store_returned_at(), self.store.returned_at());
         match (before, recovered) {
             (Some(_), None) => tracing::info!(event = "store_was_not_away", seen_by),
             (_, Some(recovered))
@@ -120,12 +120,12 @@
     /// Whether reports that disappeared are still listed although the time to wait for them is
     /// over.
     pub fn has_overdue_reports(&self, now: Instant) -> bool {
-        self.catalog.waits_until(now).is_none() && self.catalog.has_vanished()
+        self.catalog.grace_until(now).is_none() && self.catalog.has_missing()
     }
 
     /// When the state changes next without an update; none if no such time is known.
     pub fn next_change(&self, now: Instant) -> Option<Instant> {
-        self.catalog.waits_until(now)
+        self.catalog.grace_until(now)
     }
 
     /// Applies changes of a feed. Returns the records to pass on to other hosts, in order.
@@ -231,7 +231,7 @@
                 }
             }
         }
-        let applied = self.catalog.take(now, changes);
+        let applied = self.catalog.apply(now, changes);
         for change in &applied {
             log_change(change, origin);
         }
@@ -244,7 +244,7 @@
                 tracing::warn!(event = "row_refused", row = key, reason);
             }
         }
-        self.roll.take(now, changes)
+        self.roll.apply(now, changes)
     }
 
     /// Removes expired entries. Returns whether the next view differs from the last one.
@@ -284,20 +284,20 @@
             limits: self.document.limits,
             table: Arc::clone(&self.table),
             customers: Arc::clone(&self.customers),
-            upstreams_known: self.upstreams_loaded,
-            works_known: self.refused_work_loaded,
+            upstreams_loaded: self.upstreams_loaded,
+            refused_work_loaded: self.refused_work_loaded,
             services: Arc::clone(pools),
             hosts: self.advertised.clone(),
-            sharers: self.sharers,
-            near_hosts: self.near_hosts.clone(),
+            sharing_hosts: self.sharers,
+            region_hosts: self.near_hosts.clone(),
         }
     }
 
     /// The number of hosts that share limits, and the names of those in the own region; none while
     /// this host has no share of any limit.
     fn sharing_hosts(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
-        let others = self.roll.sharers(now);
-        let Some(others) = others.filter(|_| self.roll.has_part(now)) else {
+        let others = self.roll.sharing_hosts(now);
+        let Some(others) = others.filter(|_| self.roll.has_share(now)) else {
             return (None, None);
         };
         let mut near = vec![self.me.clone()];
@@ -319,7 +319,7 @@
     /// Caller addresses of the other hosts that callers may be sent to, by region.
     fn advertised_hosts(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
         let mut advertised: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
-        for host in self.roll.named(now) {
+        for host in self.roll.advertised(now) {
             if let Some(region) = self.regions.get(&host.entry.zone) {
                 let addresses = advertised.entry(region.clone()).or_default();
                 addresses.push(host.entry.caller_address);
@@ -335,7 +335,7 @@
         clock::elapsed(origin.as_of).as_millis() as u64,
     );
     match change {
-        CatalogChange::Gone { id, at_once } => {
+        CatalogChange::Removed { id, at_once } => {
             tracing::info!(event = "upstream_gone", upstream = id, at_once, %source, age_ms);
         }
         CatalogChange::Reported(report) => tracing::info!(
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -60,7 +60,7 @@
         let group = self.group();
         let names = group.iter().map(|host| host.name.as_str());
         let names_to_ask: Vec<String> = self.with_follower(feed, |follower| {
-            let names_to_ask = follower.lead.elders(names);
+            let names_to_ask = follower.lead.bootstrap_hosts(names);
             names_to_ask.into_iter().map(str::to_owned).collect()
         });
         let find = |name: &String| group.iter().find(|host| host.name == *name).cloned();
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -207,9 +207,10 @@
             Some(TokenBound::new(&allowance, &terms))
         };
         let now = clock::now();
-        let counts = from == self.me.name || self.known_state.borrow().roll.counts(now, from);
+        let counts =
+            from == self.me.name || self.known_state.borrow().roll.counts_in_bounds(now, from);
         let mut pool = self.pool.borrow_mut();
-        pool.handle_request(now, from, counts, ask, view.sharers, &bound)
+        pool.handle_request(now, from, counts, ask, view.sharing_hosts, &bound)
     }
 
     /// Hosts that may keep a group's pool, in order: some of all hosts, then the first of the own
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -49,7 +49,7 @@
             ask: LimitTokenRequest {
                 upstream: report.id.clone(),
                 zone: report.zone.clone(),
-                started_ms: report.born_ms,
+                started_ms: report.started_ms,
                 per_s: declared.per_s,
                 age_ms: declared.age.as_millis() as u32,
                 urgency,
@@ -61,14 +61,14 @@
             // The control thread has ended.
             Err(_) => Err(NoToken(NO_ANSWER_DELAY)),
         };
-        let mut condition = choice.upstream.condition();
+        let mut condition = choice.upstream.state();
         match result {
             Ok(()) => {
-                condition.stated.limit_token_granted();
+                condition.statements.limit_token_granted();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(NoToken(wait)) => condition.stated.limit_exhausted(clock::now(), wait),
+            Err(NoToken(wait)) => condition.statements.limit_exhausted(clock::now(), wait),
         }
         result
     }
--- a/crates/gateway/src/traffic/crash_check.rs
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -38,7 +38,7 @@
         );
         self.record_crash(self.work, self.sent, closed);
         // Callers that have disconnected do not report the outcome of their requests.
-        let abandoned = self.upstream.condition().abandoned.take(closed);
+        let abandoned = self.upstream.state().abandoned.take(closed);
         for (work, sent) in abandoned {
             self.record_crash(work, sent, closed);
         }
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -1,7 +1,7 @@
 //! Selects the service and region for a request.
 
 use steering::ids::{RegionName, ServiceName};
-use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, place, rank};
+use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, rank, unit_hash};
 
 use super::Traffic;
 
@@ -76,7 +76,7 @@
     let pool = view.services.get(service)?;
     let own = &traffic.common.settings.region;
     let can_serve = |region: &RegionName| pool.regions.contains_key(region) && is_allowed(region);
-    let place = place(object);
+    let place = unit_hash(object);
     let now = clock::now();
     if can_serve(own) && traffic.stats().stays_in_region(service, pool, place, now) {
         return Some(own.clone());
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -8,8 +8,8 @@
 use hyper::http::request::Parts;
 use steering::ids::ServiceName;
 use steering::route::{
-    Admission, Choice, Fate, Lack, NoRoom, Route, Sender, Sent, Try, UpstreamId, Wish, WorkEvent,
-    WorkIdentity, after, choose,
+    Admission, CallerAttempt, Choice, Requirements, RetryDecision, Route, SendOutcome, Sender,
+    Unavailable, UnavailableCause, UpstreamId, WorkEvent, WorkIdentity, choose, decide_retry,
 };
 use tokio::task::spawn_local;
 use upstream::{Body, WorkBody};
@@ -50,9 +50,9 @@
     /// Time by which the request must be answered, even with an error.
     pub deadline: Instant,
     /// Whether the caller has sent this request before.
-    pub caller_attempt: Try,
+    pub caller_attempt: CallerAttempt,
     /// Progress of each send.
-    pub sends: Vec<Sent>,
+    pub sends: Vec<SendOutcome>,
     /// Upstreams that are not tried again, because they refused the request or could not be
     /// reached.
     pub excluded: Vec<UpstreamId>,
@@ -112,11 +112,11 @@
                 Err(_) if self.token_refusals < MAX_TOKEN_REFUSALS => continue,
                 Err(NoToken(wait)) => return Err(self.rate_limited(wait)),
             };
-            choice.begin(clock::now(), destination.own_object());
+            choice.note_sent(clock::now(), destination.own_object());
             if let Some(answer) = self.send(&choice).await {
                 return Ok(answer);
             }
-            if self.after_failure(&destination.service) != Fate::SendAgain {
+            if self.after_failure(&destination.service) != RetryDecision::Retry {
                 return Err(self.final_refusal());
             }
         }
@@ -144,7 +144,7 @@
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
         self.request_log.selected(choice);
-        self.sends.push(Sent::Not);
+        self.sends.push(SendOutcome::Not);
         let sent = self.sends.last_mut().expect("an element was just pushed");
         let mut outgoing = OutgoingRequest {
             head: self.head,
@@ -188,9 +188,9 @@
             // out.
             let _ = spawn_local(check.run()).await;
         }
-        let is_unreachable = failure.sent == Sent::Not && !failure.lacks_token;
-        let may_be_asked_again = || choice.upstream.may_be_asked_again(clock::now());
-        if is_unreachable || (failure.sent != Sent::Not && !may_be_asked_again()) {
+        let is_unreachable = failure.sent == SendOutcome::Not && !failure.lacks_token;
+        let may_be_asked_again = || choice.upstream.allows_retry(clock::now());
+        if is_unreachable || (failure.sent != SendOutcome::Not && !may_be_asked_again()) {
             self.excluded.push(report.id.clone());
         }
         None
@@ -203,7 +203,7 @@
             return Err(self.out_of_time().into());
         }
         let view = self.traffic.common.view.load_full();
-        let unreachable = NoRoom::unreachable(DEFAULT_RETRY_AFTER);
+        let unreachable = Unavailable::unreachable(DEFAULT_RETRY_AFTER);
         let Some(pool) = view.services.get(service) else {
             return Err(self.selection_error(unreachable));
         };
@@ -216,24 +216,27 @@
         };
         let settings = &self.traffic.common.settings;
         let bounds = self.traffic.common.bounds();
-        let mut wish = Wish {
+        let mut wish = Requirements {
             object: destination.object,
             by_object: destination.by_object,
-            goal: self.route.goal,
+            latency_goal: self.route.goal,
             urgency: self.urgency(),
-            tried: &self.excluded,
-            usual: average_latency.unwrap_or(self.route.goal.mul_f64(INITIAL_LATENCY_FRACTION)),
+            excluded: &self.excluded,
+            typical_work: average_latency
+                .unwrap_or(self.route.goal.mul_f64(INITIAL_LATENCY_FRACTION)),
             estimate: &estimate,
             elapsed: now.saturating_duration_since(self.head.arrived),
             terms: pool.terms.as_ref(),
-            cold_bound: &|capacity_per_s| TrafficStats::cold_send_rate(&bounds, capacity_per_s),
-            me: &settings.host,
-            near_hosts: None,
+            cold_limit_per_s: &|capacity_per_s| {
+                TrafficStats::cold_send_rate(&bounds, capacity_per_s)
+            },
+            this_host: &settings.host,
+            region_hosts: None,
         };
         let mut no_room = unreachable;
         for (region, pool) in destination.regions_to_ask(pool, self.route, self.sender) {
             let near = *region == settings.region;
-            wish.near_hosts = view.near_hosts.as_deref().filter(|_| near);
+            wish.region_hosts = view.region_hosts.as_deref().filter(|_| near);
             match choose(pool, &wish, now) {
                 Ok(choice) => return Ok(choice),
                 Err(refused) => no_room = refused,
@@ -259,21 +262,21 @@
         (1.0 - URGENCY_STEP * rank).max(MIN_URGENCY)
     }
 
-    fn after_failure(&self, service: &ServiceName) -> Fate {
-        let sent_count = self.sends.iter().filter(|sent| **sent != Sent::Not);
+    fn after_failure(&self, service: &ServiceName) -> RetryDecision {
+        let sent_count = self.sends.iter().filter(|sent| **sent != SendOutcome::Not);
         let sent_count = sent_count.count() as u32;
-        let may_have_run = self.sends.contains(&Sent::Perhaps);
+        let may_have_run = self.sends.contains(&SendOutcome::Perhaps);
         let is_unsafe = may_have_run && !self.route.repeatable;
         let suspects = &self.traffic.common.suspects;
         let may_send_again = !is_unsafe
             && sent_count < self.route.attempts
             && suspects.may_be_retried(self.work)
             && (sent_count == 0 || self.take_retry(service));
-        after(&self.sends, self.route.repeatable, may_send_again)
+        decide_retry(&self.sends, self.route.repeatable, may_send_again)
     }
 
     fn take_retry(&self, service: &ServiceName) -> bool {
-        let sharers = self.traffic.common.view.load().sharers;
+        let sharers = self.traffic.common.view.load().sharing_hosts;
         let now = clock::now();
         let bounds = self.traffic.common.bounds();
         let mut stats = self.traffic.stats();
@@ -292,8 +295,8 @@
         if self.is_late(clock::now()) {
             return self.out_of_time();
         }
-        match after(&self.sends, self.route.repeatable, false) {
-            Fate::NotRun => self.not_sent(),
+        match decide_retry(&self.sends, self.route.repeatable, false) {
+            RetryDecision::NotRun => self.not_sent(),
             _ => Refusal::MayHaveRun,
         }
     }
@@ -314,7 +317,7 @@
         }
     }
 
-    fn selection_error(&self, no_room: NoRoom) -> SelectionError {
+    fn selection_error(&self, no_room: Unavailable) -> SelectionError {
         SelectionError {
             refusal: self.unless_run(not_run(&no_room)),
             passed_over: no_room.passed_over,
@@ -340,8 +343,8 @@
 
     /// The refusal of a request whose time is over.
     pub fn out_of_time(&self) -> Refusal {
-        match after(&self.sends, self.route.repeatable, false) {
-            Fate::NotRun => Refusal::NotRun {
+        match decide_retry(&self.sends, self.route.repeatable, false) {
+            RetryDecision::NotRun => Refusal::NotRun {
                 cause: Cause::NoTime,
                 retry_after: DEFAULT_RETRY_AFTER,
             },
@@ -352,14 +355,14 @@
 
 /// The refusal of a request that has not run. The retry time is randomized so that callers refused
 /// together do not return together.
-fn not_run(no_room: &NoRoom) -> Refusal {
+fn not_run(no_room: &Unavailable) -> Refusal {
     Refusal::NotRun {
-        cause: match no_room.lack {
-            Lack::Reach => Cause::NoUpstream,
-            Lack::Rest => Cause::UpstreamsRest,
-            Lack::Limit => Cause::UpstreamsLimit,
-            Lack::Room => Cause::NoRoom,
+        cause: match no_room.cause {
+            UnavailableCause::Unreachable => Cause::NoUpstream,
+            UnavailableCause::Resting => Cause::UpstreamsRest,
+            UnavailableCause::RateLimited => Cause::UpstreamsLimit,
+            UnavailableCause::Full => Cause::NoRoom,
         },
-        retry_after: no_room.come_back + no_room.spread.mul_f64(rand::random()),
+        retry_after: no_room.retry_after + no_room.retry_spread.mul_f64(rand::random()),
     }
 }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -8,7 +8,7 @@
 use hyper::header::{AUTHORIZATION, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use steering::route::{Answered, Choice, Sender, Sent, Upstream, WorkIdentity};
+use steering::route::{AnswerOutcome, Choice, SendOutcome, Sender, Upstream, WorkIdentity};
 use steering::statement::Obstacle;
 use upstream::{Body, Holding, Reuse, SendError, TrackedBody, WorkBody, end_to_end};
 
@@ -32,9 +32,9 @@
 impl InFlight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
         let started_at = clock::now();
-        let mut condition = choice.upstream.condition();
-        condition.sent(started_at);
-        condition.works_for(choice.expectation.work.if_fetched);
+        let mut condition = choice.upstream.state();
+        condition.request_sent(started_at);
+        condition.note_expected_work(choice.expectation.work.if_fetched);
         drop(condition);
         InFlight {
             upstream: Arc::clone(&choice.upstream),
@@ -45,12 +45,12 @@
         }
     }
 
-    fn record(&self, answered: Answered) {
+    fn record(&self, answered: AnswerOutcome) {
         let now = clock::now();
         let id = &self.upstream.report.id;
-        let mut condition = self.upstream.condition();
+        let mut condition = self.upstream.state();
         condition.answered(now, answered);
-        if answered.shows_life() && condition.stated.answered(self.started_at) {
+        if answered.shows_life() && condition.statements.answered(self.started_at) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
         drop(condition);
@@ -63,15 +63,15 @@
     fn drop(&mut self) {
         let is_abandoned = !self.is_recorded.get() && self.is_sent.get();
         if !self.is_recorded.get() {
-            self.record(Answered::Unknown);
+            self.record(AnswerOutcome::Unknown);
         }
         let now = clock::now();
-        let mut condition = self.upstream.condition();
+        let mut condition = self.upstream.state();
         if is_abandoned {
             condition.abandoned.note(now, self.work, self.started_at);
         }
-        condition.stated.unanswered(self.started_at);
-        condition.ended(now);
+        condition.statements.unanswered(self.started_at);
+        condition.request_ended(now);
     }
 }
 
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub(super) struct SendFailure {
     /// How far the request got.
-    pub sent: Sent,
+    pub sent: SendOutcome,
     /// Reason for the log.
     pub reason: String,
     /// Whether nothing was sent because the upstream has declared a rate limit since it was
@@ -90,7 +90,7 @@
 }
 
 impl SendFailure {
-    fn new(sent: Sent, reason: impl ToString) -> Self {
+    fn new(sent: SendOutcome, reason: impl ToString) -> Self {
         SendFailure {
             sent,
             reason: reason.to_string(),
@@ -124,7 +124,7 @@
     traffic: &Arc<Traffic>,
     choice: &Choice,
     outgoing: &mut OutgoingRequest<'_>,
-    sent: &mut Sent,
+    sent: &mut SendOutcome,
 ) -> Result<Response<Body>, SendFailure> {
     let reuse = match outgoing.repeatable {
         true => Reuse::Any,
@@ -141,16 +141,16 @@
         Ok(lease) => lease,
         Err(reason) => {
             count_send("not_sent");
-            in_flight.record(Answered::Failed);
-            return Err(SendFailure::new(Sent::Not, reason));
+            in_flight.record(AnswerOutcome::Unreachable);
+            return Err(SendFailure::new(SendOutcome::Not, reason));
         }
     };
-    if let Some(obstacle) = choice.barred(clock::now()) {
+    if let Some(obstacle) = choice.new_obstacle(clock::now()) {
         count_send("not_sent");
         lease.give_back();
         return Err(SendFailure {
             lacks_token: matches!(obstacle, Obstacle::LimitExhausted(_)),
-            ..SendFailure::new(Sent::Not, obstacle)
+            ..SendFailure::new(SendOutcome::Not, obstacle)
         });
     }
     let suspects = &traffic.common.suspects;
@@ -159,17 +159,17 @@
         count_send("not_sent");
         lease.give_back();
         return Err(SendFailure::new(
-            Sent::Not,
+            SendOutcome::Not,
             "refused because of crashes since it was admitted",
         ));
     }
     let Some(request) = build_request(traffic, upstream, outgoing) else {
         return Err(SendFailure::new(
-            Sent::Perhaps,
+            SendOutcome::Perhaps,
             "the body can't be sent again",
         ));
     };
-    *sent = Sent::Perhaps;
+    *sent = SendOutcome::Perhaps;
     in_flight.is_sent.set(true);
     match lease.send(request, outgoing.deadline).await {
         Ok(answer) => {
@@ -178,24 +178,24 @@
         }
         Err(SendError::NotSent { reason, request }) => {
             count_send("not_sent");
-            in_flight.record(Answered::Failed);
+            in_flight.record(AnswerOutcome::Unreachable);
             if let Some(request) = request {
                 outgoing.body.put_back(request.into_body());
             }
-            Err(SendFailure::new(Sent::Not, reason))
+            Err(SendFailure::new(SendOutcome::Not, reason))
         }
         Err(SendError::Lost { reason }) => {
             count_send("lost");
-            in_flight.record(Answered::Broken);
+            in_flight.record(AnswerOutcome::Broken);
             Err(SendFailure {
                 was_closed: true,
-                ..SendFailure::new(Sent::Perhaps, reason)
+                ..SendFailure::new(SendOutcome::Perhaps, reason)
             })
         }
         Err(SendError::Late) => {
             count_send("late");
-            choice.gave_no_answer(clock::now(), clock::elapsed(in_flight.started_at));
-            Err(SendFailure::new(Sent::Perhaps, "late"))
+            choice.note_timeout(clock::now(), clock::elapsed(in_flight.started_at));
+            Err(SendFailure::new(SendOutcome::Perhaps, "late"))
         }
     }
 }
@@ -252,18 +252,18 @@
         .get(&names.request_id)
         .is_some_and(|id| id.as_bytes() == outgoing.head.id.as_bytes());
     if !is_own && !outgoing.head.id.is_empty() {
-        in_flight.record(Answered::Broken);
+        in_flight.record(AnswerOutcome::Broken);
         return Err(SendFailure::new(
-            Sent::Perhaps,
+            SendOutcome::Perhaps,
             "an answer to another request",
         ));
     }
     let status = answer.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        in_flight.record(Answered::Refused);
-        in_flight.upstream.condition().replaced();
+        in_flight.record(AnswerOutcome::Refused);
+        in_flight.upstream.state().replaced();
         return Err(SendFailure::new(
-            Sent::Refused,
+            SendOutcome::Refused,
             "another upstream process has the address",
         ));
     }
@@ -285,20 +285,20 @@
     let load = load.filter(|_| statement.rest.is_none());
     if let Some(load) = load.and_then(|load| traffic.wire_format.parse_load(load)) {
         let reporter = &in_flight.upstream;
-        reporter.reported(clock::now(), load.running, load.waiting);
+        reporter.load_reported(clock::now(), load.running, load.waiting);
     }
     if headers.contains_key(&names.not_run) {
-        in_flight.record(Answered::Refused);
-        return Err(SendFailure::new(Sent::Refused, status));
+        in_flight.record(AnswerOutcome::Refused);
+        return Err(SendFailure::new(SendOutcome::Refused, status));
     }
     if !is_own {
-        in_flight.record(Answered::Broken);
+        in_flight.record(AnswerOutcome::Broken);
         return Err(SendFailure::new(
-            Sent::Perhaps,
+            SendOutcome::Perhaps,
             "not an upstream's own answer",
         ));
     }
-    in_flight.record(Answered::Whole);
+    in_flight.record(AnswerOutcome::Complete);
     if status.is_success() {
         let now = clock::now();
         let took = now - in_flight.started_at;
--- a/crates/gateway/src/traffic/stats.rs
+++ b/crates/gateway/src/traffic/stats.rs
@@ -7,8 +7,8 @@
 
 use steering::ids::{RegionName, RuleName, ServiceName};
 use steering::route::{
-    Choice, Estimate, PartSpread, Patience, RegionPool, RegionSpread, RepeatPart, Route, RouteView,
-    ServicePool, Try, share_by_room,
+    CallerAttempt, CallerTimeouts, Choice, Estimate, RegionPool, RegionShare, RetryShare, Route,
+    RouteView, ServicePool, WeightedRoundRobin, share_by_capacity,
 };
 
 use crate::settings::{Bounds, GatewaySettings};
@@ -24,15 +24,15 @@
 /// Adaptive state of this host.
 pub(super) struct TrafficStats {
     region: RegionName,
-    retry_shares: HashMap<ServiceName, RepeatPart>,
-    service_spreads: HashMap<RuleName, PartSpread>,
-    region_shares: HashMap<ServiceName, RegionSpread>,
+    retry_shares: HashMap<ServiceName, RetryShare>,
+    service_spreads: HashMap<RuleName, WeightedRoundRobin>,
+    region_shares: HashMap<ServiceName, RegionShare>,
     /// Moving average of the time from a send to the head of its answer, in milliseconds.
     average_latency_ms: HashMap<ServiceName, f64>,
     /// Estimated work time of each route at each service.
     estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
     /// How long callers of each route wait.
-    patience: HashMap<RuleName, Patience>,
+    patience: HashMap<RuleName, CallerTimeouts>,
     /// Version of the document that the routes belong to.
     version: u64,
 }
@@ -70,7 +70,7 @@
         now: Instant,
     ) -> bool {
         if !self.region_shares.contains_key(service) {
-            let spread = RegionSpread::new(free_capacity_fraction(
+            let spread = RegionShare::new(free_capacity_fraction(
                 pool,
                 &self.region,
                 now,
@@ -79,7 +79,7 @@
             self.region_shares.insert(service.to_owned(), spread);
         }
         let spread = self.region_shares.get_mut(service);
-        spread.is_none_or(|spread| spread.stays(place))
+        spread.is_none_or(|spread| spread.keeps_local(place))
     }
 
     /// Counts a request to a service for its retry budget.
@@ -88,9 +88,10 @@
     }
 
     /// Whether a caller of a route has sent the request before, judged by how long it will wait.
-    pub fn caller_attempt(&mut self, route: &str, patience: Duration) -> Try {
+    pub fn caller_attempt(&mut self, route: &str, patience: Duration) -> CallerAttempt {
         if !self.patience.contains_key(route) {
-            self.patience.insert(route.to_owned(), Patience::default());
+            self.patience
+                .insert(route.to_owned(), CallerTimeouts::default());
         }
         let route_patience = self
             .patience
@@ -105,13 +106,14 @@
         service: &str,
         bounds: &Bounds,
         sharers: Option<usize>,
-        of: Try,
+        of: CallerAttempt,
         now: Instant,
     ) -> bool {
-        self.retry_share(service, bounds).repeat(now, sharers, of)
+        self.retry_share(service, bounds)
+            .take_retry(now, sharers, of)
     }
 
-    fn retry_share(&mut self, service: &str, bounds: &Bounds) -> &mut RepeatPart {
+    fn retry_share(&mut self, service: &str, bounds: &Bounds) -> &mut RetryShare {
         let Bounds {
             retry_ratio,
             retry_slack,
@@ -120,7 +122,7 @@
         } = *bounds;
         if !self.retry_shares.contains_key(service) {
             self.retry_shares
-                .insert(service.to_owned(), RepeatPart::default());
+                .insert(service.to_owned(), RetryShare::default());
         }
         let part = self
             .retry_shares
@@ -168,8 +170,8 @@
         let Some(estimate) = routes.and_then(|routes| routes.get_mut(route)) else {
             return;
         };
-        let ratio = estimate.learn(expected.standing, choice.cold, expected.speed, work);
-        choice.upstream.condition().speed.take(now, ratio);
+        let ratio = estimate.learn(expected.affinity, choice.cold, expected.speed, work);
+        choice.upstream.state().speed.take(now, ratio);
     }
 
     /// Drops the state of routes that are not in a new document.
@@ -216,21 +218,21 @@
                 continue;
             };
             let own = pool.regions.get(&self.region);
-            let hosts = view.near_hosts.as_ref().map_or(1, Vec::len);
-            let own_use = own.map_or(f64::INFINITY, |own| own.use_of_room(now, hosts, average));
+            let hosts = view.region_hosts.as_ref().map_or(1, Vec::len);
+            let own_use = own.map_or(f64::INFINITY, |own| own.utilization(now, hosts, average));
             let others = pool.regions.iter();
             let others = others.filter(|(region, _)| **region != self.region);
-            let others_use = others.map(|(_, pool)| pool.use_of_room(now, hosts, average));
-            let before = spread.own();
+            let others_use = others.map(|(_, pool)| pool.utilization(now, hosts, average));
+            let before = spread.share();
             let others_use = others_use.fold(f64::INFINITY, f64::min);
             let free_capacity_fraction = free_capacity_fraction(pool, &self.region, now, average);
             spread.adapt(step, own_use, others_use, free_capacity_fraction);
-            if before != spread.own() {
-                let own = spread.own();
+            if before != spread.share() {
+                let own = spread.share();
                 tracing::info!(event = "region_share", service, own, own_use);
             }
             metrics::gauge!("stagedeck_region_share", "service" => service.clone())
-                .set(spread.own());
+                .set(spread.share());
         }
     }
 }
@@ -242,10 +244,10 @@
     now: Instant,
     average: Option<Duration>,
 ) -> f64 {
-    let room = |pool: &RegionPool| pool.room(now, average);
+    let room = |pool: &RegionPool| pool.capacity(now, average);
     let own = pool.regions.get(region).map_or(0.0, room);
     let all = pool.regions.values().map(room).sum();
-    share_by_room(own, all, pool.regions.len())
+    share_by_capacity(own, all, pool.regions.len())
 }
 
 fn from_ms(ms: f64) -> Duration {
--- /dev/null
+++ b/crates/steering/src/route/host_table.rs
@@ -0,0 +1,207 @@
+//! The other hosts, and which of them this host receives heartbeats from.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use super::feed::{Changes, Record};
+use super::host_list::HostList;
+use crate::ids::{HostName, Incarnation};
+use crate::membership::HostEntry;
+
+/// Silence after which a host is no longer advertised to callers. Operators allow 3 s
+/// beyond the time in which a host counts as out of contact, at least 6 s in all.
+const ADVERTISED_FOR: Duration = Duration::from_millis(3_500);
+/// Silence after which a host no longer counts in shared limits.
+const COUNTED_FOR: Duration = Duration::from_secs(20);
+
+/// Time for which this host uses its share of limits after its row has left the list: it
+/// serves for some seconds while it shuts down. Half of the time for which the other hosts
+/// count it.
+const OWN_SHARE_KEPT_FOR: Duration = Duration::from_secs(10);
+
+/// Silence of a heartbeat partner after which its row may be removed from the store's list.
+const LOST_AFTER: Duration = Duration::from_secs(60);
+
+/// Another host.
+#[derive(Debug, Clone, PartialEq)]
+pub struct KnownHost {
+    /// Zone and addresses of the host.
+    pub entry: HostEntry,
+    /// Incarnation in its last heartbeat; `None` before the first one.
+    pub incarnation: Option<Incarnation>,
+    last_heard: Option<Instant>,
+    /// Time at which it was last heard, or else became known.
+    last_sign: Instant,
+    /// Whether the store's list has, or had, its row.
+    listed: bool,
+    leaving: bool,
+}
+
+/// All other hosts known to this host.
+#[derive(Debug, Default)]
+pub struct HostTable {
+    hosts: BTreeMap<HostName, KnownHost>,
+    me: HostName,
+    list: HostList,
+    /// Time at which this host's own row was removed from the list.
+    row_removed_at: Option<Instant>,
+}
+
+impl HostTable {
+    /// Creates a table without other hosts.
+    pub fn new(me: &str) -> Self {
+        HostTable {
+            me: me.to_owned(),
+            ..HostTable::default()
+        }
+    }
+
+    /// Applies changes of the store's list, or a complete snapshot, and returns what has
+    /// changed. A host is advertised to callers only after its first heartbeat.
+    pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
+        let was_listed = self.list.has(&self.me);
+        let changed_records = self.list.apply(changes);
+        if was_listed && !self.list.has(&self.me) {
+            self.row_removed_at = Some(now);
+        }
+        for entry in self.list.rows().filter(|entry| entry.name != self.me) {
+            let known = self.hosts.get_mut(&entry.name);
+            let same = |known: &&mut KnownHost| known.entry.peer_address == entry.peer_address;
+            if let Some(known) = known.filter(same) {
+                known.listed = true;
+                continue;
+            }
+            let host = KnownHost {
+                incarnation: None,
+                last_heard: None,
+                last_sign: now,
+                listed: true,
+                leaving: false,
+                entry: entry.clone(),
+            };
+            self.hosts.insert(entry.name.clone(), host);
+        }
+        let list = &self.list;
+        self.hosts
+            .retain(|name, host| list.has(name) || is_recent(host, now));
+        changed_records
+    }
+
+    /// Returns the store's list.
+    pub fn list(&self) -> &HostList {
+        &self.list
+    }
+
+    /// Records a heartbeat. Returns true if it changes which hosts are advertised.
+    pub fn record_heartbeat(
+        &mut self,
+        now: Instant,
+        entry: &HostEntry,
+        incarnation: Incarnation,
+        leaving: bool,
+    ) -> bool {
+        let before = self.is_advertised(now, &entry.name);
+        let known = self.hosts.get(&entry.name);
+        let listed = known.is_some_and(|known| known.listed) || self.list.has(&entry.name);
+        let host = KnownHost {
+            entry: entry.clone(),
+            incarnation: Some(incarnation),
+            last_heard: Some(now),
+            last_sign: now,
+            listed,
+            leaving,
+        };
+        self.hosts.insert(entry.name.clone(), host);
+        before == leaving
+    }
+
+    /// Records an answer of a known host as a sign of life.
+    pub fn answered(&mut self, now: Instant, name: &str) {
+        if let Some(host) = self.hosts.get_mut(name) {
+            host.last_heard = Some(now);
+            host.last_sign = now;
+        }
+    }
+
+    /// Returns the hosts to advertise to callers, without those that are shutting down.
+    pub fn advertised(&self, now: Instant) -> impl Iterator<Item = &KnownHost> {
+        self.hosts
+            .values()
+            .filter(move |host| is_advertised(host, now))
+    }
+
+    /// Returns all other hosts that may be alive.
+    pub fn known(&self) -> impl Iterator<Item = &KnownHost> {
+        self.hosts.values()
+    }
+
+    /// Returns whether this host has a share of global limits: it has, or recently had, a
+    /// row by which all other hosts count it. A host that no other host knows would exceed
+    /// the limits, whatever its own view.
+    pub fn has_share(&self, now: Instant) -> bool {
+        let is_kept = |gone: Instant| now.saturating_duration_since(gone) < OWN_SHARE_KEPT_FOR;
+        self.list.has(&self.me) || self.row_removed_at.is_some_and(is_kept)
+    }
+
+    /// Returns whether another host has a share of global limits, as far as this host
+    /// knows.
+    pub fn counts_in_bounds(&self, now: Instant, name: &str) -> bool {
+        let host = self.hosts.get(name);
+        self.list.has(name) || host.is_some_and(|host| host.listed && is_recent(host, now))
+    }
+
+    /// Returns the other hosts that may use a share of a global limit: all hosts of the
+    /// list and those heard recently. `None` before the store's list has been read.
+    pub fn sharing_hosts(&self, now: Instant) -> Option<impl Iterator<Item = &HostEntry>> {
+        let hosts = self.hosts.values();
+        let counted =
+            hosts.filter(move |host| self.list.has(&host.entry.name) || is_recent(host, now));
+        self.list.is_read().then(|| counted.map(|host| &host.entry))
+    }
+
+    /// Returns the heartbeat partners that have been silent for so long that they are lost.
+    pub fn lost<'a>(&self, now: Instant, partners: &'a [HostEntry]) -> Vec<&'a HostName> {
+        let is_lost = |name: &HostName| {
+            let host = self.hosts.get(name);
+            host.is_some_and(|host| now.saturating_duration_since(host.last_sign) > LOST_AFTER)
+        };
+        let names = partners.iter().map(|partner| &partner.name);
+        names.filter(|name| is_lost(name)).collect()
+    }
+
+    /// Restarts every host's liveness timers after a pause of this host, which caused the
+    /// silence itself.
+    pub fn resume(&mut self, now: Instant) {
+        for host in self.hosts.values_mut() {
+            host.last_sign = now;
+            if host.last_heard.is_some() {
+                host.last_heard = Some(now);
+            }
+        }
+    }
+
+    /// Restarts the silence timers that decide whether hosts are lost, after this host was
+    /// cut off itself. Otherwise it would remove the rows of all its heartbeat partners at
+    /// the moment when it reaches the store again but has not heard them yet.
+    pub fn was_cut_off(&mut self, now: Instant) {
+        for host in self.hosts.values_mut() {
+            host.last_sign = now;
+        }
+    }
+
+    fn is_advertised(&self, now: Instant, name: &str) -> bool {
+        self.hosts
+            .get(name)
+            .is_some_and(|host| is_advertised(host, now))
+    }
+}
+
+fn is_recent(host: &KnownHost, now: Instant) -> bool {
+    now.saturating_duration_since(host.last_sign) < COUNTED_FOR
+}
+
+fn is_advertised(host: &KnownHost, now: Instant) -> bool {
+    let last_heard = host.last_heard;
+    let recently = last_heard.is_some_and(|at| now.saturating_duration_since(at) < ADVERTISED_FOR);
+    recently && !host.leaving
+}
