--- a/crates/steering/src/claim.rs
+++ b/crates/steering/src/claim.rs
@@ -58,7 +58,7 @@
 
 /// Returns the fingerprint of a request.
 ///
-/// Each part is prefixed with its length, so that no two requests hash the same bytes.
+/// Each part is prefixed with its length, so that no two different requests hash the same bytes.
 pub fn fingerprint(method: &str, path: &str, body: &[u8]) -> Fingerprint {
     let mut digest = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -69,14 +69,14 @@
 }
 
 #[derive(Debug)]
-struct UsedTicket {
+struct SpentTicket {
     fingerprint: Fingerprint,
     /// `None` while the request runs.
     ending: Option<WorkOutcome>,
     forget_at: Instant,
 }
 
-impl UsedTicket {
+impl SpentTicket {
     fn kept_bytes(&self) -> usize {
         match &self.ending {
             Some(WorkOutcome::Ran(receipt)) => receipt.body.as_ref().map_or(0, Bytes::len),
@@ -94,16 +94,16 @@
     pub bytes: usize,
 }
 
-/// The tickets used with one incarnation of a host.
+/// The spent tickets of one incarnation of a host: those that a request has used.
 ///
 /// Each is remembered until it has expired and its request has ended.
 #[derive(Debug)]
 pub struct SpentTickets {
     limits: SpentLimits,
-    used: HashMap<ClaimId, UsedTicket>,
-    /// Contains exactly the ids in `used`, ordered by the time they are forgotten.
+    spent: HashMap<ClaimId, SpentTicket>,
+    /// Contains exactly the ids in `spent`, ordered by the time they are forgotten.
     by_forget_time: BTreeSet<(Instant, ClaimId)>,
-    /// Total size of the bodies kept in `used`.
+    /// Total size of the bodies kept in `spent`.
     kept_bytes: usize,
 }
 
@@ -112,7 +112,7 @@
     pub fn new(limits: SpentLimits) -> Self {
         SpentTickets {
             limits,
-            used: HashMap::new(),
+            spent: HashMap::new(),
             by_forget_time: BTreeSet::new(),
             kept_bytes: 0,
         }
@@ -121,9 +121,9 @@
     /// Returns how to handle another request with a ticket that was used already; `None`
     /// if the ticket is not remembered.
     pub fn status(&self, id: &str, fingerprint: &str) -> Option<TicketDecision> {
-        let used = self.used.get(id)?;
-        Some(match &used.ending {
-            _ if used.fingerprint != fingerprint => TicketDecision::Conflict,
+        let spent = self.spent.get(id)?;
+        Some(match &spent.ending {
+            _ if spent.fingerprint != fingerprint => TicketDecision::Conflict,
             None => TicketDecision::InProgress,
             Some(ending) => TicketDecision::Replay(ending.clone()),
         })
@@ -143,15 +143,15 @@
         if let Some(decision) = self.status(id, fingerprint) {
             return decision;
         }
-        if self.used.len() >= self.limits.count {
+        if self.spent.len() >= self.limits.count {
             return TicketDecision::Full;
         }
-        let used = UsedTicket {
+        let spent = SpentTicket {
             fingerprint: fingerprint.to_owned(),
             ending: None,
             forget_at,
         };
-        self.used.insert(id.to_owned(), used);
+        self.spent.insert(id.to_owned(), spent);
         self.by_forget_time.insert((forget_at, id.to_owned()));
         TicketDecision::Run
     }
@@ -159,9 +159,10 @@
     /// Removes the record of a ticket whose request certainly did not run, so that the
     /// ticket can be used again.
     pub fn release(&mut self, id: &str) {
-        if let Some(used) = self.used.remove(id) {
-            self.by_forget_time.remove(&(used.forget_at, id.to_owned()));
-            self.kept_bytes -= used.kept_bytes();
+        if let Some(spent) = self.spent.remove(id) {
+            self.by_forget_time
+                .remove(&(spent.forget_at, id.to_owned()));
+            self.kept_bytes -= spent.kept_bytes();
         }
     }
 
@@ -176,27 +177,27 @@
         {
             receipt.body = None;
         }
-        if let Some(used) = self.used.get_mut(id) {
-            used.ending = Some(ending);
-            self.kept_bytes += used.kept_bytes();
+        if let Some(spent) = self.spent.get_mut(id) {
+            spent.ending = Some(ending);
+            self.kept_bytes += spent.kept_bytes();
         }
     }
 
     /// Returns the number of remembered tickets.
     pub fn len(&self) -> usize {
-        self.used.len()
+        self.spent.len()
     }
 
     /// Whether no ticket is remembered.
     pub fn is_empty(&self) -> bool {
-        self.used.is_empty()
+        self.spent.is_empty()
     }
 
     /// Whether another ticket may be issued.
     ///
     /// Half of [`SpentLimits::count`] stays free for tickets that are issued but unused.
     pub fn may_issue(&self) -> bool {
-        self.used.len() < self.limits.count / 2
+        self.spent.len() < self.limits.count / 2
     }
 
     /// Forgets expired tickets whose requests have ended.
@@ -208,7 +209,7 @@
             .map(|(_, id)| id.clone())
             .collect();
         for id in expired {
-            if self.used[&id].ending.is_some() {
+            if self.spent[&id].ending.is_some() {
                 self.release(&id);
             }
         }
--- a/crates/steering/src/document/mod.rs
+++ b/crates/steering/src/document/mod.rs
@@ -20,7 +20,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A whole configuration as operators write it, in JSON.
+/// A whole configuration as operators write it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
--- a/crates/steering/src/document/objects.rs
+++ b/crates/steering/src/document/objects.rs
@@ -15,7 +15,7 @@
 pub struct Region {
     /// Name, unique among regions.
     pub name: RegionName,
-    /// Labels, for operators' use.
+    /// Labels for operators; no selector matches them.
     #[serde(default)]
     pub labels: Labels,
     /// Maximum number of requests in flight in the region, at least 1; `None` is no limit.
@@ -233,7 +233,7 @@
     pub traffic: Traffic,
     /// Destinations, at least one; a zone belongs to at most one of them.
     pub places: Vec<Place>,
-    /// Labels, for operators' use.
+    /// Labels for operators; no selector matches them.
     #[serde(default)]
     pub labels: Labels,
 }
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -160,7 +160,7 @@
         self.hosts.get(zone).is_some_and(|hosts| !hosts.is_empty())
     }
 
-    /// Draws one of a zone's pools at random, weighted by its index of upstreams.
+    /// Draws one of a zone's pools at random, weighted by its number of upstreams.
     ///
     /// Returns `None` if the zone has no upstreams.
     pub fn draw_pool<'a>(&self, zone: &'a ZonePlan, rng: &mut dyn RngCore) -> Option<&'a str> {
