--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -1,4 +1,4 @@
-//! Customers' allowances, as the thread that serves callers asks for them.
+//! Customers' allowances, shared between the threads of a host.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,99 +8,99 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Longest wait for a token: two round trips between far regions. A caller that waits longer
-/// has lost a third of its goal, and is told to come back.
-const WAIT_MOST: Duration = Duration::from_millis(250);
-/// Time after which a caller may come back to a host that hears of no pool.
-const UNHEARD_WAIT: Duration = Duration::from_millis(800);
+/// Longest wait for a token: two round trips between distant regions. A longer wait would use up a
+/// third of the latency goal, so the caller is told to retry instead.
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after which a caller may retry at a host that can't reach a pool.
+const NO_ANSWER_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// A host's tokens; the thread of control asks other hosts for more.
+/// Tokens that this host holds. The control thread requests more from other hosts.
 pub(crate) struct Allowances {
     leases: Mutex<TokenLeases>,
-    groups: Vec<Signals>,
+    groups: Vec<Notifications>,
 }
 
-/// Of one group of customers.
+/// Notifications for one group of customers.
 #[derive(Default)]
-struct Signals {
-    /// Told when requests wait for tokens.
-    waited_for: Notify,
-    /// Told when tokens are wanted of the pool.
-    wanted: Notify,
-    /// Told when an answer has come.
+struct Notifications {
+    /// Notified when requests wait for tokens.
+    requests_waiting: Notify,
+    /// Notified when tokens should be requested from the pool.
+    refill_needed: Notify,
+    /// Notified when an answer has arrived.
     answered: Notify,
 }
 
-/// Why a request may not be made now.
+/// Why a request may not run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Beyond {
-    /// The allowance is used up for so long.
-    Used(Duration),
-    /// Nobody has told in time whether it is.
-    Unheard(Duration),
+pub(crate) enum AllowanceError {
+    /// The allowance is used up for this time.
+    Exhausted(Duration),
+    /// No host has answered in time whether the allowance is used up; retry after this time.
+    NoAnswer(Duration),
 }
 
 /// A request that waits for a token.
 struct Waiting<'a> {
     allowances: &'a Allowances,
     customer: &'a str,
-    settled: bool,
+    is_settled: bool,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.is_settled {
             self.allowances.leases().cancel_wait(self.customer);
         }
     }
 }
 
 impl Allowances {
-    /// No tokens yet.
+    /// Starts without tokens.
     pub fn new() -> Self {
         Allowances {
             leases: Mutex::new(TokenLeases::new(clock::now())),
-            groups: (0..GROUPS).map(|_| Signals::default()).collect(),
+            groups: (0..GROUPS).map(|_| Notifications::default()).collect(),
         }
     }
 
-    /// What the host holds.
+    /// Tokens that this host holds.
     pub fn leases(&self) -> MutexGuard<'_, TokenLeases> {
         self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn signals(&self, group: TokenGroup) -> &Signals {
+    fn notifications(&self, group: TokenGroup) -> &Notifications {
         &self.groups[usize::from(group)]
     }
 
     /// Waits until requests of a group wait for tokens.
-    pub async fn waited_for(&self, group: TokenGroup) {
-        self.signals(group).waited_for.notified().await;
+    pub async fn requests_waiting(&self, group: TokenGroup) {
+        self.notifications(group).requests_waiting.notified().await;
     }
 
-    /// Waits until tokens of a group are wanted of its pool.
-    pub async fn wanted(&self, group: TokenGroup) {
-        self.signals(group).wanted.notified().await;
+    /// Waits until tokens of a group should be requested from the pool.
+    pub async fn refill_needed(&self, group: TokenGroup) {
+        self.notifications(group).refill_needed.notified().await;
     }
 
-    /// Tells that tokens of a group are wanted of its pool.
-    pub fn want(&self, group: TokenGroup) {
-        self.signals(group).wanted.notify_one();
+    /// Signals that tokens of a group should be requested from the pool.
+    pub fn request_refill(&self, group: TokenGroup) {
+        self.notifications(group).refill_needed.notify_one();
     }
 
-    /// Tells requests that wait that an answer has come.
-    pub fn answered(&self, group: TokenGroup) {
-        self.signals(group).answered.notify_waiters();
+    /// Signals to waiting requests that an answer has arrived.
+    pub fn notify_answered(&self, group: TokenGroup) {
+        self.notifications(group).answered.notify_waiters();
     }
 
-    /// Takes a token of a request's customer, which has an allowance.
+    /// Takes a token of the request's customer, which has an allowance.
     ///
     /// # Errors
     ///
-    /// There is none; the request must not run.
-    pub async fn admit(&self, customer: &Customer) -> Result<(), Beyond> {
+    /// No token is available; the request must not run.
+    pub async fn admit(&self, customer: &Customer) -> Result<(), AllowanceError> {
         let name: &CustomerName = &customer.name;
-        let signals = self.signals(group_of(name));
+        let notifications = self.notifications(group_of(name));
         let now = clock::now();
         let (taken, runs_low) = {
             let mut leases = self.leases();
@@ -108,37 +108,42 @@
             (taken, leases.runs_low(now, name))
         };
         if runs_low {
-            signals.wanted.notify_one();
+            notifications.refill_needed.notify_one();
         }
         match taken {
             TakeResult::Taken => Ok(()),
-            TakeResult::Exhausted(time) => Err(Beyond::Used(time)),
-            TakeResult::Wait => self.wait(name, signals, now + WAIT_MOST).await,
+            TakeResult::Exhausted(time) => Err(AllowanceError::Exhausted(time)),
+            TakeResult::Wait => self.wait(name, notifications, now + TOKEN_TIMEOUT).await,
         }
     }
 
-    async fn wait(&self, customer: &str, signals: &Signals, end: Instant) -> Result<(), Beyond> {
+    async fn wait(
+        &self,
+        customer: &str,
+        notifications: &Notifications,
+        end: Instant,
+    ) -> Result<(), AllowanceError> {
         let mut waiting = Waiting {
             allowances: self,
             customer,
-            settled: false,
+            is_settled: false,
         };
         loop {
-            let answered = signals.answered.notified();
+            let answered = notifications.answered.notified();
             let taken = self.leases().retry(clock::now(), customer);
-            waiting.settled = taken != TakeResult::Wait;
+            waiting.is_settled = taken != TakeResult::Wait;
             match taken {
                 TakeResult::Taken => return Ok(()),
-                TakeResult::Exhausted(time) => return Err(Beyond::Used(time)),
-                TakeResult::Wait => signals.waited_for.notify_one(),
+                TakeResult::Exhausted(time) => return Err(AllowanceError::Exhausted(time)),
+                TakeResult::Wait => notifications.requests_waiting.notify_one(),
             }
             if timeout(clock::left(end), answered).await.is_err() {
-                return Err(Beyond::Unheard(UNHEARD_WAIT));
+                return Err(AllowanceError::NoAnswer(NO_ANSWER_RETRY_AFTER));
             }
         }
     }
 
-    /// Gives back the token of a request that has not run.
+    /// Returns the token of a request that has not run.
     pub fn give_back(&self, customer: &Customer) {
         self.leases().give_back(clock::now(), &customer.name);
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Tokens of the limits that upstreams name, as the thread that serves callers asks for them.
+//! Requests tokens of upstreams' rate limits for the traffic thread.
 
 use std::time::Duration;
 
@@ -6,65 +6,70 @@
 use steering::statement::KnownLimit;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time for which an upstream is passed over of whose limit no holder has told in time.
-const UNHEARD_WAIT: Duration = Duration::from_millis(250);
+/// Time for which an upstream is skipped when no holder of its rate limit has answered in time.
+const NO_ANSWER_DELAY: Duration = Duration::from_millis(250);
 
-/// There is no token for so long.
+/// No token is available for this time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Dry(pub Duration);
+pub(crate) struct NoToken(pub Duration);
 
 /// A request that waits for a token.
 pub(crate) struct LimitCall {
-    /// What is asked.
+    /// The token request.
     pub ask: LimitTokenRequest,
-    /// Gets the answer; its asker may have left.
-    pub answer: oneshot::Sender<Result<(), Dry>>,
+    /// Receives the result; the receiver may have been dropped.
+    pub answer: oneshot::Sender<Result<(), NoToken>>,
 }
 
-/// Where requests ask; the thread of control asks other hosts.
+/// Passes token requests to the control thread, which asks other hosts.
 #[derive(Debug, Clone)]
 pub(crate) struct LimitCalls(mpsc::UnboundedSender<LimitCall>);
 
 impl LimitCalls {
-    /// For the thread that serves callers, and what comes in at the one that controls.
+    /// Creates the sender for the traffic thread and the receiver for the control thread.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<LimitCall>) {
-        let (calls, incoming) = mpsc::unbounded_channel();
-        (LimitCalls(calls), incoming)
+        let (calls, receiver) = mpsc::unbounded_channel();
+        (LimitCalls(calls), receiver)
     }
 
-    /// Asks for a token for a request to the chosen upstream.
+    /// Requests a token for sending to the chosen upstream.
     ///
     /// # Errors
     ///
-    /// There is none; the request must not be sent there.
-    pub async fn token(&self, choice: &Choice, heard: KnownLimit, urgency: f64) -> Result<(), Dry> {
+    /// No token is available; the request must not be sent to this upstream.
+    pub async fn take_token(
+        &self,
+        choice: &Choice,
+        declared: KnownLimit,
+        urgency: f64,
+    ) -> Result<(), NoToken> {
         let report = &choice.upstream.report;
-        let (answer, answered) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         let call = LimitCall {
             ask: LimitTokenRequest {
                 upstream: report.id.clone(),
                 zone: report.zone.clone(),
-                started_ms: report.born_ms,
-                per_s: heard.per_s,
-                age_ms: heard.age.as_millis() as u32,
+                started_ms: report.started_ms,
+                per_s: declared.per_s,
+                age_ms: declared.age.as_millis() as u32,
                 urgency,
             },
             answer,
         };
-        let token = match self.0.send(call) {
-            Ok(()) => answered.await.unwrap_or(Err(Dry(UNHEARD_WAIT))),
-            // The thread of control has ended with the host.
-            Err(_) => Err(Dry(UNHEARD_WAIT)),
+        let result = match self.0.send(call) {
+            Ok(()) => receiver.await.unwrap_or(Err(NoToken(NO_ANSWER_DELAY))),
+            // The control thread has ended.
+            Err(_) => Err(NoToken(NO_ANSWER_DELAY)),
         };
-        let mut condition = choice.upstream.condition();
-        match token {
+        let mut condition = choice.upstream.state();
+        match result {
             Ok(()) => {
-                condition.stated.limit_token_granted();
+                condition.statements.limit_token_granted();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(Dry(wait)) => condition.stated.limit_exhausted(clock::now(), wait),
+            Err(NoToken(wait)) => condition.statements.limit_exhausted(clock::now(), wait),
         }
-        token
+        result
     }
 }
--- a/crates/gateway/src/traffic/look.rs
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an upstream has ended under a request.
+//! Checks whether an upstream has crashed while serving a request.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,20 +9,20 @@
 use super::Traffic;
 use crate::suspects;
 
-/// A look at an upstream that has closed a request's connection. That alone says little: it
-/// loses an answer now and then.
-pub(super) struct Look {
+/// Checks an upstream that has closed a request's connection. A closed connection alone is weak
+/// evidence, since an upstream loses an answer now and then.
+pub(super) struct CrashCheck {
     pub traffic: Arc<Traffic>,
     pub upstream: Arc<Upstream>,
     /// Identity of the request.
     pub id: RequestId,
     pub work: WorkIdentity,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
 }
 
-impl Look {
-    /// Looks, and learns of an end.
+impl CrashCheck {
+    /// Runs the check, and records a crash.
     pub async fn run(self) {
         let closed = clock::now();
         let report = &self.upstream.report;
@@ -33,23 +33,23 @@
             event = "upstream_ended",
             id = self.id,
             upstream = report.id,
-            work = suspects::name(self.work.request),
-            object = suspects::name(self.work.object)
+            work = suspects::format_key(self.work.request),
+            object = suspects::format_key(self.work.object)
         );
-        self.learn(self.work, self.sent, closed);
-        // Whoever has left will not tell what became of what it sent.
-        let abandoned = self.upstream.condition().abandoned.take(closed);
+        self.record_crash(self.work, self.sent, closed);
+        // Callers that have disconnected do not report the outcome of their requests.
+        let abandoned = self.upstream.state().abandoned.take(closed);
         for (work, sent) in abandoned {
-            self.learn(work, sent, closed);
+            self.record_crash(work, sent, closed);
         }
     }
 
-    fn learn(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
+    fn record_crash(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
         let told = WorkEvent::Crashed {
             start: self.upstream.report.start_hash(),
             sent_ms: clock::elapsed(sent).as_millis() as u32,
             crashed_ms: clock::elapsed(closed).as_millis() as u32,
         };
-        self.traffic.common.suspects.learn(work, told);
+        self.traffic.common.suspects.record_event(work, told);
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,18 +1,22 @@
-//! The operators' page names every event of the platform's path, and no other.
+//! Checks that the operators' page lists exactly the log events of a host on the platform.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Sources whose events the page's last table lists.
+/// Source files and directories whose events the last table of the page lists.
 const SOURCES: &[&str] = &[
     "crates/clock/src",
     "crates/gateway/src",
     "src/commands/gateway.rs",
     "src/logging.rs",
 ];
-/// What stands before an event's name.
-const STARTS: &[&str] = &["event = \"", "tell!(info, \"", "tell!(warn, \""];
+/// Source text that precedes the name of an event.
+const STARTS: &[&str] = &[
+    "event = \"",
+    "log_request!(info, \"",
+    "log_request!(warn, \"",
+];
 const TABLE: &str = "### Events on the platform";
 
 fn events_of(path: &Path, events: &mut BTreeSet<String>) {
@@ -41,7 +45,7 @@
 }
 
 #[test]
-fn the_page_lists_every_event() {
+fn the_page_lists_exactly_the_events() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut events = BTreeSet::new();
     for source in SOURCES {
