--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -107,7 +107,12 @@
     let rest_end = now + REST;
     let trial = send(&mut condition, rest_end);
     assert_eq!(condition.obstacle(rest_end), Some(Obstacle::TrialPending));
-    answer(&mut condition, earlier, rest_end + MS, AnswerOutcome::Complete);
+    answer(
+        &mut condition,
+        earlier,
+        rest_end + MS,
+        AnswerOutcome::Complete,
+    );
     let still = condition.obstacle(rest_end + MS);
     assert_eq!(
         still,
