--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -126,7 +126,7 @@
         let now = clock::now();
         let mut limit_asks = self.limit_asks.borrow_mut();
         limit_asks.forget_idle(now);
-        let is_asked = |host: &HostEntry| limit_asks.asks(now, &host.name);
+        let is_asked = |host: &HostEntry| limit_asks.was_asked_recently(now, &host.name);
         let lenders =
             lenders.filter(|host| owners.contains(&host.name) || is_near(host) || is_asked(host));
         let receivers: Vec<&HostEntry> = receivers.iter().chain(lenders).collect();
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -272,7 +272,7 @@
     to.set_incarnation(request.incarnation);
     to.set_sequence(request.sequence);
     to.set_keep(request.keep);
-    to.set_want(request.want);
+    to.set_want(request.demand);
 }
 
 pub fn read_request(from: wire::loan_request::Reader<'_>) -> Result<LoanRequest, Error> {
@@ -281,7 +281,7 @@
         incarnation: from.get_incarnation(),
         sequence: from.get_sequence(),
         keep: from.get_keep(),
-        want: from.get_want(),
+        demand: from.get_want(),
     })
 }
 
--- a/crates/steering/src/limiter/escrow.rs
+++ b/crates/steering/src/limiter/escrow.rs
@@ -29,7 +29,8 @@
     /// Units of the current loan that the borrower continues to use.
     pub keep: Units,
     /// Additional units requested.
-    pub want: Units,
+    #[serde(rename = "want")]
+    pub demand: Units,
 }
 
 /// Answer to a [`LoanRequest`].
@@ -141,7 +142,13 @@
     /// Creates a request to a lender that returns all units but `keep`.
     ///
     /// From now on this host holds at most `keep` units of that lender.
-    pub fn request(&mut self, now: Instant, lender: &str, keep: Units, want: Units) -> LoanRequest {
+    pub fn request(
+        &mut self,
+        now: Instant,
+        lender: &str,
+        keep: Units,
+        demand: Units,
+    ) -> LoanRequest {
         let borrowed = self
             .borrowed
             .entry(lender.to_owned())
@@ -159,7 +166,7 @@
             incarnation: self.incarnation,
             sequence: borrowed.sequence,
             keep: borrowed.units,
-            want,
+            demand,
         }
     }
 
@@ -174,7 +181,7 @@
         let keep = request.keep.min(previous.units);
         let others = self.lent() - previous.units;
         let free = self.owned.saturating_sub(others + keep);
-        let units = keep + request.want.min(spare).min(free);
+        let units = keep + request.demand.min(spare).min(free);
         let lent = LentUnits {
             sequence: request.sequence,
             units,
--- a/crates/steering/src/limiter/ledger.rs
+++ b/crates/steering/src/limiter/ledger.rs
@@ -262,18 +262,18 @@
         now: Instant,
         key: &LimitKey,
         lender: &str,
-        want: LoanDemand,
+        demand: LoanDemand,
     ) -> Option<LoanRequest> {
         let limit = self.limits.get_mut(key)?;
-        let keep = match want {
+        let keep = match demand {
             LoanDemand::Less => limit.used(now).saturating_sub(limit.escrow.own()),
             LoanDemand::Same | LoanDemand::More(_) => limit.escrow.borrowed_of(lender),
         };
-        let want = match want {
+        let units = match demand {
             LoanDemand::More(units) => units,
             LoanDemand::Same | LoanDemand::Less => 0,
         };
-        let request = limit.escrow.request(now, lender, keep, want);
+        let request = limit.escrow.request(now, lender, keep, units);
         limit.settle(now);
         Some(request)
     }
--- a/crates/steering/src/limiter/roster.rs
+++ b/crates/steering/src/limiter/roster.rs
@@ -28,7 +28,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// Share of each host, by name.
-    pub parts: BTreeMap<HostName, HostShare>,
+    #[serde(rename = "parts")]
+    pub shares: BTreeMap<HostName, HostShare>,
     /// Thousandths that no host owns.
     pub free_permille: u32,
 }
@@ -47,7 +48,7 @@
 impl Default for Roster {
     fn default() -> Self {
         Roster {
-            parts: BTreeMap::new(),
+            shares: BTreeMap::new(),
             free_permille: WHOLE_PERMILLE,
         }
     }
@@ -56,10 +57,10 @@
 impl Roster {
     /// Share of a start, in thousandths.
     pub fn permille(&self, host: &str, incarnation: Incarnation) -> u32 {
-        self.parts
+        self.shares
             .get(host)
-            .filter(|part| part.incarnation == incarnation)
-            .map_or(0, |part| part.permille)
+            .filter(|share| share.incarnation == incarnation)
+            .map_or(0, |share| share.permille)
     }
 
     /// Units of a limit that a start owns, rounded down so that the sum never exceeds the limit.
@@ -74,58 +75,65 @@
     }
 
     /// Gives free thousandths to a start, up to `most` in total; returns its share.
+    ///
+    /// # Errors
+    ///
+    /// An earlier start of the host still holds a share.
     pub fn take(
         &mut self,
         host: &str,
         incarnation: Incarnation,
         most: u32,
     ) -> Result<u32, RosterError> {
-        let part = self.parts.entry(host.to_owned()).or_insert(HostShare {
+        let share = self.shares.entry(host.to_owned()).or_insert(HostShare {
             incarnation,
             permille: 0,
         });
-        if part.incarnation != incarnation {
+        if share.incarnation != incarnation {
             return Err(RosterError::EarlierStart);
         }
-        let more = most.saturating_sub(part.permille).min(self.free_permille);
-        part.permille += more;
+        let more = most.saturating_sub(share.permille).min(self.free_permille);
+        share.permille += more;
         self.free_permille -= more;
-        Ok(part.permille)
+        Ok(share.permille)
     }
 
-    /// Returns the part of a start's share above `keep` to the free thousandths, and returns the
-    /// remaining share. Only the start itself may call this, and only after it has stopped using
-    /// the units.
+    /// Reduces a start's share to at most `keep` thousandths and returns the remaining share. Only
+    /// the start itself may call this, and only after it has stopped using the units.
+    ///
+    /// # Errors
+    ///
+    /// The start holds no share.
     pub fn give(
         &mut self,
         host: &str,
         incarnation: Incarnation,
         keep: u32,
     ) -> Result<u32, RosterError> {
-        let part = self.parts.get_mut(host).ok_or(RosterError::NotYours)?;
-        if part.incarnation != incarnation {
+        let share = self.shares.get_mut(host).ok_or(RosterError::NotYours)?;
+        if share.incarnation != incarnation {
             return Err(RosterError::NotYours);
         }
-        let less = part.permille.saturating_sub(keep);
-        part.permille -= less;
+        let less = share.permille.saturating_sub(keep);
+        share.permille -= less;
         self.free_permille += less;
-        Ok(part.permille)
+        Ok(share.permille)
     }
 
     /// Frees the share of a start that is certainly gone.
     pub fn free(&mut self, host: &str, incarnation: Incarnation) {
         let gone = self
-            .parts
+            .shares
             .get(host)
-            .is_some_and(|part| part.incarnation == incarnation);
-        if gone && let Some(part) = self.parts.remove(host) {
-            self.free_permille += part.permille;
+            .is_some_and(|share| share.incarnation == incarnation);
+        if gone && let Some(share) = self.shares.remove(host) {
+            self.free_permille += share.permille;
         }
     }
 
     /// Whether the shares and the free thousandths add up to the whole.
     pub fn is_whole(&self) -> bool {
-        let parts: u32 = self.parts.values().map(|part| part.permille).sum();
-        parts + self.free_permille == WHOLE_PERMILLE
+        let shares: u32 = self.shares.values().map(|share| share.permille).sum();
+        shares + self.free_permille == WHOLE_PERMILLE
     }
 }
--- a/crates/steering/src/pool/member.rs
+++ b/crates/steering/src/pool/member.rs
@@ -11,8 +11,8 @@
 use crate::labels;
 use crate::statement::{ActiveStatements, Obstacle};
 
-/// Small, because zones are compared by the average, and reacting to noise would send requests to
-/// other zones.
+/// Small, because zones are compared by the average, and reacting to noise would cost round trips
+/// between zones.
 const LATENCY_WEIGHT: f64 = 0.05;
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(5);
 const SLOW_FACTOR: f64 = 4.0;
@@ -171,7 +171,7 @@
             && labels::takes_new_work(&self.upstream.labels)
     }
 
-    /// Remaining rest at the latest known time; `None` if the upstream does not rest.
+    /// Remaining rest at the latest known time; zero for any other obstacle, `None` without one.
     pub fn rests_for(&self) -> Option<Duration> {
         match self.statements.obstacle(self.latest_at)? {
             Obstacle::Rests(rest) => Some(rest),
@@ -220,19 +220,16 @@
         }
     }
 
-    /// Whether the request sent at `sent` had no answer yet.
+    /// Stops waiting for the answer to the request sent at `sent`; true if there was none yet.
     fn stop_awaiting(&mut self, sent: Instant) -> bool {
-        let position = self
-            .unanswered
-            .iter()
-            .position(|unanswered| *unanswered == sent);
+        let position = self.unanswered.iter().position(|sent_at| *sent_at == sent);
         position.map(|at| self.unanswered.swap_remove(at)).is_some()
     }
 
     pub fn release(&mut self, now: Instant, sent: Instant, outcome: Outcome, expected: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.latest_at = now;
-        let unanswered = self.stop_awaiting(sent);
+        let was_unanswered = self.stop_awaiting(sent);
         match outcome {
             Outcome::Shed => drop(self.statements.answered(sent)),
             // A rest of zero length is an answer like any other, and ends a trial.
@@ -246,7 +243,7 @@
             }
         }
         match outcome {
-            Outcome::Answered(latency) if unanswered => self.record_success(latency, expected),
+            Outcome::Answered(latency) if was_unanswered => self.record_success(latency, expected),
             Outcome::Answered(_) => {}
             Outcome::Shed | Outcome::Rests(_) => {
                 self.shrink_window();
@@ -260,7 +257,7 @@
                 }
             }
             // A request cancelled late shows that the upstream takes at least this long.
-            Outcome::Cancelled if unanswered => {
+            Outcome::Cancelled if was_unanswered => {
                 let waited = now.saturating_duration_since(sent);
                 if waited >= expected.mul_f64(SLOW_FACTOR) {
                     self.record_latency(waited, expected);
--- a/crates/steering/src/route/allowance/lease.rs
+++ b/crates/steering/src/route/allowance/lease.rs
@@ -187,14 +187,14 @@
         lent
     }
 
-    /// Adds tokens for requests that wait.
-    pub fn accept_zone_loan(&mut self, tokens: u32) {
+    /// Reserves tokens for requests that wait, at most one for each.
+    pub fn reserve(&mut self, tokens: u32) {
         self.reserved += tokens.min(self.waiting);
     }
 
     /// Adds the tokens that the pool lent in answer to `demand`.
     pub fn take_grant(&mut self, now: Instant, demand: &TokenDemand, grant: &TokenGrant) {
-        self.accept_zone_loan(grant.needed);
+        self.reserve(grant.needed);
         self.tokens += grant.ahead;
         self.lent = demand.held + grant.ahead;
         let retry_after = Duration::from_millis(grant.retry_after_ms.into());
--- a/crates/steering/src/route/allowance/leases.rs
+++ b/crates/steering/src/route/allowance/leases.rs
@@ -54,7 +54,10 @@
             self.customers.insert(customer.to_owned(), Lease::default());
         }
         let is_valid = self.is_valid(now, customer);
-        let lease = self.customers.get_mut(customer).expect("it is there");
+        let lease = self
+            .customers
+            .get_mut(customer)
+            .expect("the lease was just inserted");
         lease.record_requests(now, 1);
         let taken = lease.try_take(now, is_valid);
         if taken == TakeResult::Wait {
@@ -115,7 +118,7 @@
             group,
             confirms: request.confirms,
             leaves: request.leaves,
-            wants: demands,
+            demands,
         };
         LeaseStep::SendRequest(request.host, token_request)
     }
@@ -161,7 +164,7 @@
         if !membership.record_reply(host, reply_times, request.confirms) {
             return true;
         }
-        for (demand, grant) in request.wants.iter().zip(grants) {
+        for (demand, grant) in request.demands.iter().zip(grants) {
             if let Some(lease) = self.customers.get_mut(&demand.customer) {
                 lease.take_grant(now, demand, grant);
             }
@@ -200,7 +203,7 @@
         };
         ZoneLoan {
             tokens,
-            good_for_ms: valid_for.as_millis() as u32,
+            valid_for_ms: valid_for.as_millis() as u32,
         }
     }
 
@@ -216,9 +219,9 @@
         let Some(lease) = self.customers.get_mut(customer) else {
             return true;
         };
-        let valid_until = asked + Duration::from_millis(loan.good_for_ms.into());
+        let valid_until = asked + Duration::from_millis(loan.valid_for_ms.into());
         if now < valid_until {
-            lease.accept_zone_loan(loan.tokens);
+            lease.reserve(loan.tokens);
         }
         lease.lacking() == 0
     }
--- a/crates/steering/src/route/allowance/message.rs
+++ b/crates/steering/src/route/allowance/message.rs
@@ -27,7 +27,8 @@
     /// Whether the sender's share stops counting in this pool.
     pub leaves: bool,
     /// The customers for whom tokens are needed or returned.
-    pub wants: Vec<TokenDemand>,
+    #[serde(rename = "wants")]
+    pub demands: Vec<TokenDemand>,
 }
 
 /// Tokens lent by a host of the same zone.
@@ -36,7 +37,8 @@
     /// Number of tokens.
     pub tokens: u32,
     /// Time for which the tokens are valid, in milliseconds.
-    pub good_for_ms: u32,
+    #[serde(rename = "good_for_ms")]
+    pub valid_for_ms: u32,
 }
 
 /// A host's demand for tokens of one customer.
--- a/crates/steering/src/route/allowance/pool.rs
+++ b/crates/steering/src/route/allowance/pool.rs
@@ -226,7 +226,7 @@
         };
         TokenReply::Granted {
             stamp,
-            grants: request.wants.iter().map(lend).collect(),
+            grants: request.demands.iter().map(lend).collect(),
         }
     }
 
--- a/crates/steering/src/route/limit/holder_selector.rs
+++ b/crates/steering/src/route/limit/holder_selector.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether a holder was asked recently.
-    pub fn asks(&self, now: Instant, holder: &str) -> bool {
+    pub fn was_asked_recently(&self, now: Instant, holder: &str) -> bool {
         let at = self.last_asked.get(holder);
         at.is_some_and(|at| now.saturating_duration_since(*at) < RECENTLY_ASKED)
     }
--- a/crates/steering/src/route/limit/tokens.rs
+++ b/crates/steering/src/route/limit/tokens.rs
@@ -8,7 +8,7 @@
 use crate::ids::HostName;
 use crate::route::allowance::TokenBound;
 
-/// Bounds of the time after which a token is promised. The upper bound lets each host request a holder
+/// Bounds of the time after which a token is promised. With the upper bound each host asks a holder
 /// a few times a minute, whatever the demand for the upstream.
 const MIN_PROMISED_WAIT: Duration = Duration::from_millis(20);
 const MAX_PROMISED_WAIT: Duration = Duration::from_secs(5);
--- a/crates/steering/src/route/suspect/abandoned.rs
+++ b/crates/steering/src/route/suspect/abandoned.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy)]
 struct AbandonedRequest {
     work: WorkIdentity,
-    sent: Instant,
+    sent_at: Instant,
     abandoned_at: Instant,
 }
 
@@ -24,8 +24,8 @@
 pub struct AbandonedRequests(VecDeque<AbandonedRequest>);
 
 impl AbandonedRequests {
-    /// Records a request that was sent at `sent` and is abandoned at `now`.
-    pub fn note(&mut self, now: Instant, work: WorkIdentity, sent: Instant) {
+    /// Records a request that was sent at `sent_at` and is abandoned at `now`.
+    pub fn note(&mut self, now: Instant, work: WorkIdentity, sent_at: Instant) {
         let is_expired = |first: &AbandonedRequest| {
             now.saturating_duration_since(first.abandoned_at) >= MAX_RUN_AFTER_ABANDONMENT
         };
@@ -34,18 +34,20 @@
         }
         self.0.push_back(AbandonedRequest {
             work,
-            sent,
+            sent_at,
             abandoned_at: now,
         });
     }
 
     /// Removes all records and returns the requests, with their send times, that the upstream may
-    /// still have been running when it crashed at `ended`.
-    pub fn take(&mut self, ended: Instant) -> Vec<(WorkIdentity, Instant)> {
+    /// still have been running when it crashed at `crashed_at`.
+    pub fn take(&mut self, crashed_at: Instant) -> Vec<(WorkIdentity, Instant)> {
         let may_run = |request: &AbandonedRequest| {
-            ended.saturating_duration_since(request.abandoned_at) < MAX_RUN_AFTER_ABANDONMENT
+            crashed_at.saturating_duration_since(request.abandoned_at) < MAX_RUN_AFTER_ABANDONMENT
         };
         let taken = self.0.drain(..).filter(may_run);
-        taken.map(|request| (request.work, request.sent)).collect()
+        taken
+            .map(|request| (request.work, request.sent_at))
+            .collect()
     }
 }
--- a/crates/steering/src/route/suspect/state.rs
+++ b/crates/steering/src/route/suspect/state.rs
@@ -19,7 +19,8 @@
     /// Number of times that suspicion known to other hosts was cleared.
     pub clears: u32,
     /// Crashes since the last clearing.
-    pub ends: u32,
+    #[serde(rename = "ends")]
+    pub crashes: u32,
     /// Answers since the last crash.
     pub answers: u32,
 }
@@ -35,13 +36,15 @@
     pub starts: Vec<u64>,
     /// Time since the last crash, in milliseconds; since the clearing if there was no crash after
     /// it.
-    pub last_end_ms: u32,
+    #[serde(rename = "last_end_ms")]
+    pub last_crash_ms: u32,
     /// Time since the last clearing, in milliseconds.
     pub cleared_ms: Option<u32>,
     /// Time since the last answer, in milliseconds.
     pub last_answer_ms: Option<u32>,
     /// Time since the current trial request was admitted, in milliseconds; `None` without a trial.
-    pub tried_ms: Option<u32>,
+    #[serde(rename = "tried_ms")]
+    pub trial_ms: Option<u32>,
 }
 
 /// The instant `age_ms` before `now`; `now` itself if the clock does not reach that far back.
@@ -54,11 +57,11 @@
 pub(super) fn digest(key: WorkKey, rank: WorkRank) -> WorkDigest {
     let WorkRank {
         clears,
-        ends,
+        crashes,
         answers,
     } = rank;
-    let parts = [clears, ends, answers];
-    parts.iter().fold(key, |digest, part| {
-        XxHash3_64::oneshot_with_seed(digest, &part.to_le_bytes())
+    let counters = [clears, crashes, answers];
+    counters.iter().fold(key, |digest, counter| {
+        XxHash3_64::oneshot_with_seed(digest, &counter.to_le_bytes())
     })
 }
--- a/crates/steering/src/route/suspect/suspects.rs
+++ b/crates/steering/src/route/suspect/suspects.rs
@@ -51,14 +51,14 @@
 #[derive(Debug)]
 pub struct Suspects {
     suspicions: HashMap<WorkKey, Suspicion>,
-    /// From 0 to 1, different on each host.
+    /// Constant from 0 to 1 that scales the jitter; different on each host.
     jitter: f64,
     /// When another host last sent its state; `None` if none ever has, as on a single host.
     last_sync_at: Option<Instant>,
 }
 
 impl Suspects {
-    /// No suspicions; `me` is the name of this host.
+    /// Creates an instance without suspicions; `me` is the name of this host.
     pub fn new(me: &str) -> Self {
         Suspects {
             suspicions: HashMap::new(),
@@ -147,7 +147,7 @@
     }
 
     /// Applies an event that this host saw or another host reported; true if it is new, and other
-    /// hosts should be told.
+    /// hosts should be informed.
     pub fn apply(&mut self, now: Instant, work: WorkIdentity, event: WorkEvent) -> bool {
         let at = |age_ms| instant_before(now, age_ms);
         match event {
@@ -178,13 +178,13 @@
         is_new
     }
 
-    fn record_answer(&mut self, now: Instant, work: WorkIdentity, sent: Instant) -> bool {
+    fn record_answer(&mut self, now: Instant, work: WorkIdentity, sent_at: Instant) -> bool {
         let mut is_new = false;
         for key in work.keys() {
             let Some(suspicion) = self.suspicions.get_mut(&key) else {
                 continue;
             };
-            is_new |= suspicion.record_answer(now, sent);
+            is_new |= suspicion.record_answer(now, sent_at);
             if suspicion.is_cleared() {
                 self.clear(now, key);
             }
@@ -219,8 +219,9 @@
             .shared(now)
             .map(|(key, suspicion)| suspicion.state(now, *key))
             .collect();
-        states
-            .sort_unstable_by_key(|state| (std::cmp::Reverse(state.rank.ends), state.last_end_ms));
+        states.sort_unstable_by_key(|state| {
+            (std::cmp::Reverse(state.rank.crashes), state.last_crash_ms)
+        });
         states.truncate(MAX_STATES_PER_MESSAGE);
         states
     }
@@ -244,11 +245,11 @@
         now: Instant,
         work: WorkIdentity,
         start: u64,
-        sent: Instant,
-        ended: Instant,
+        sent_at: Instant,
+        crashed_at: Instant,
     ) -> bool {
-        let request = self.suspicion_mut(now, work.request, ended);
-        if !request.count_crash(start, sent, ended) {
+        let request = self.suspicion_mut(now, work.request, crashed_at);
+        if !request.count_crash(start, sent_at, crashed_at) {
             return false;
         }
         let is_refused = request.is_refused();
@@ -260,11 +261,11 @@
             .get(&work.object)
             .is_some_and(Suspicion::is_refused)
         {
-            self.suspicion_mut(now, work.object, ended)
-                .count_crash(start, sent, ended);
+            self.suspicion_mut(now, work.object, crashed_at)
+                .count_crash(start, sent_at, crashed_at);
         } else if is_refused {
-            self.suspicion_mut(now, work.object, ended)
-                .count_refused_request(work.request, ended);
+            self.suspicion_mut(now, work.object, crashed_at)
+                .count_refused_request(work.request, crashed_at);
         }
         true
     }
--- a/crates/steering/src/route/suspect/suspicion.rs
+++ b/crates/steering/src/route/suspect/suspicion.rs
@@ -43,8 +43,8 @@
 pub(super) struct Suspicion {
     /// Hashes of the latest upstream starts that crashed while running this work.
     starts: Vec<u64>,
-    /// For an object: requests for it that became refused since its last answer, [`CRASHES_TO_REFUSE`]
-    /// at most. Empty for a request.
+    /// For an object: requests for it that became refused since its last answer, at most
+    /// [`CRASHES_TO_REFUSE`]. Empty for a request.
     refused_requests: Vec<WorkKey>,
     /// Consecutive crashes. Requests that were in flight at several upstreams when all of them
     /// crashed count one crash, since such crashes (as in a zone's power failure) have a common
@@ -162,7 +162,7 @@
         self.last_answer_at = None;
     }
 
-    /// Records an answer to work that was sent at `sent`; false if the answer proves nothing.
+    /// Records an answer to work that was sent at `sent_at`; false if the answer proves nothing.
     pub fn record_answer(&mut self, now: Instant, sent_at: Instant) -> bool {
         // Work in flight at the time of the last crash proves nothing about later work.
         let is_suspected = self.is_refused() || !self.refused_requests.is_empty();
@@ -198,7 +198,7 @@
     pub fn rank(&self) -> WorkRank {
         WorkRank {
             clears: self.clears,
-            ends: self.crashes,
+            crashes: self.crashes,
             answers: self.answers,
         }
     }
@@ -210,10 +210,10 @@
             key,
             rank: self.rank(),
             starts: self.starts.clone(),
-            last_end_ms: age_ms(self.last_crash_at),
+            last_crash_ms: age_ms(self.last_crash_at),
             cleared_ms: self.cleared_at.map(age_ms),
             last_answer_ms: self.last_answer_at.map(age_ms),
-            tried_ms: self.trial_since.map(age_ms),
+            trial_ms: self.trial_since.map(age_ms),
         }
     }
 
@@ -228,7 +228,7 @@
         let crashed_after_clearing =
             cleared_at.is_some_and(|cleared_at| cleared_at < self.last_crash_at);
         if state.rank.clears > self.clears
-            && state.rank.ends < self.crashes
+            && state.rank.crashes < self.crashes
             && crashed_after_clearing
         {
             self.clears = state.rank.clears;
@@ -237,11 +237,11 @@
         }
         self.clears = state.rank.clears;
         self.cleared_at = cleared_at;
-        self.crashes = state.rank.ends;
+        self.crashes = state.rank.crashes;
         self.answers = state.rank.answers;
-        self.last_crash_at = at(state.last_end_ms);
+        self.last_crash_at = at(state.last_crash_ms);
         self.last_answer_at = state.last_answer_ms.map(at);
-        self.trial_since = state.tried_ms.map(at);
+        self.trial_since = state.trial_ms.map(at);
         let known = state.starts.iter().take(MAX_STARTS);
         self.starts = known.copied().collect();
     }
--- a/crates/steering/src/statement/active_statements.rs
+++ b/crates/steering/src/statement/active_statements.rs
@@ -18,8 +18,7 @@
 /// does not revoke them; only the methods of this type do.
 #[derive(Debug, Default)]
 pub struct ActiveStatements {
-    /// Since when the upstream has been leaving; never reset, since a start that leaves does not
-    /// return.
+    /// Since when the upstream has been leaving. Never reset; the state ends with the start.
     leaves_since: Option<Instant>,
     rest: Rest,
     /// Limit on the requests of all hosts in total.
@@ -158,7 +157,7 @@
         Duration::from_secs_f64(all_served_s.min(MAX_RETURN_SPAN.as_secs_f64()))
     }
 
-    /// The obstacle that the statements are to a request now.
+    /// The obstacle to a request now that follows from the statements.
     pub fn obstacle(&self, now: Instant) -> Option<Obstacle> {
         if self.leaves_since.is_some() {
             return Some(Obstacle::Leaves);
--- a/crates/steering/tests/limiter.rs
+++ b/crates/steering/tests/limiter.rs
@@ -107,7 +107,7 @@
     Ask {
         from: usize,
         to: usize,
-        want: u32,
+        demand: u32,
     },
     Deliver {
         message: usize,
@@ -144,10 +144,10 @@
             Step::Release(host) => {
                 self.starts[host].used = self.starts[host].used.saturating_sub(1);
             }
-            Step::Ask { from, to, want } if from != to => {
+            Step::Ask { from, to, demand } if from != to => {
                 let Start { escrow, used, .. } = &mut self.starts[from];
                 let keep = used.saturating_sub(escrow.own());
-                let request = escrow.request(self.now, &to.to_string(), keep, want);
+                let request = escrow.request(self.now, &to.to_string(), keep, demand);
                 self.requests.push((from, to, request));
             }
             Step::Ask { .. } => {}
@@ -225,7 +225,7 @@
     prop_oneof![
         8 => host().prop_map(Step::Use),
         3 => host().prop_map(Step::Release),
-        5 => (host(), host(), 0..8_u32).prop_map(|(from, to, want)| Step::Ask { from, to, want }),
+        5 => (host(), host(), 0..8_u32).prop_map(|(from, to, demand)| Step::Ask { from, to, demand }),
         8 => (0..100_usize, prop::bool::weighted(0.2))
             .prop_map(|(message, keep_copy)| Step::Deliver { message, keep_copy }),
         1 => (0..100_usize).prop_map(Step::Lose),
--- a/crates/steering/tests/pool.rs
+++ b/crates/steering/tests/pool.rs
@@ -356,8 +356,8 @@
     let left = sent_to(&mut fixture, "a");
     fixture.now += 5 * MS;
     fixture.release(&left, Outcome::Cancelled);
-    let places = filled(&mut fixture);
-    assert_eq!(places.iter().filter(|name| *name == "a").count(), 4);
+    let upstreams = filled(&mut fixture);
+    assert_eq!(upstreams.iter().filter(|name| *name == "a").count(), 4);
 }
 
 /// An upstream that reports that it accepts no work gets none, even if it still answers.
--- a/crates/steering/tests/route_allowance.rs
+++ b/crates/steering/tests/route_allowance.rs
@@ -435,15 +435,15 @@
             group: group_of(CUSTOMER),
             confirms: None,
             leaves: false,
-            wants: Vec::new(),
+            demands: Vec::new(),
         };
         let reply = pool.handle_request(at, from, has_share, &join, hosts, &|_| Some(bound));
         let TokenReply::Granted { stamp, .. } = reply else {
             panic!("{reply:?}");
         };
-        let want = TokenRequest {
+        let request = TokenRequest {
             confirms: Some(stamp),
-            wants: vec![TokenDemand {
+            demands: vec![TokenDemand {
                 customer: CUSTOMER.to_owned(),
                 held: 0,
                 need,
@@ -451,7 +451,7 @@
             }],
             ..join
         };
-        match pool.handle_request(at, from, has_share, &want, hosts, &|_| Some(bound)) {
+        match pool.handle_request(at, from, has_share, &request, hosts, &|_| Some(bound)) {
             TokenReply::Granted { grants, .. } => grants[0],
             reply => panic!("{reply:?}"),
         }
--- a/crates/steering/tests/route_limit.rs
+++ b/crates/steering/tests/route_limit.rs
@@ -379,7 +379,7 @@
     let mut tokens = LimitTokens::default();
     let (reply, change) = tokens.take(now, "h", &token_request(4.0), 1, &tolerance);
     assert!(matches!(reply, LimitReply::Exhausted(_)), "{reply:?}");
-    assert!(change.is_some(), "it is told");
+    assert!(change.is_some(), "the new share is returned");
     let (reply, change) = tokens.take(
         now + Duration::from_secs(1),
         "h",
@@ -427,8 +427,8 @@
     let waits: Vec<u32> = hosts[..4].iter().map(|host| wait(host)).collect();
     let share = holder_share(4.0, 1, &tolerance);
     let apart_ms = (1_000.0 / share.per_s) as u32;
-    for (place, wait) in waits.iter().enumerate() {
-        let expected = apart_ms * (place as u32 + 1);
+    for (position, wait) in waits.iter().enumerate() {
+        let expected = apart_ms * (position as u32 + 1);
         assert!(wait.abs_diff(expected) <= 4, "{waits:?}");
     }
     assert_eq!(
--- a/crates/steering/tests/route_suspects.rs
+++ b/crates/steering/tests/route_suspects.rs
@@ -419,9 +419,9 @@
     assert_eq!(refused_ms(fixture.admit(over)), Some(3_000));
     fixture.suspects.note_alone();
     assert_eq!(fixture.admit(over), Admission::Trial);
-    let heard = over + 3_001;
-    fixture.suspects.note_synced(fixture.at(heard));
-    assert_eq!(fixture.admit(heard), Admission::Trial);
+    let synced_ms = over + 3_001;
+    fixture.suspects.note_synced(fixture.at(synced_ms));
+    assert_eq!(fixture.admit(synced_ms), Admission::Trial);
 }
 
 #[test]
--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -74,17 +74,17 @@
     #[case] first: Duration,
     #[case] after: Duration,
     #[case] second: Duration,
-    #[case] ends: Duration,
+    #[case] rest_end: Duration,
 ) {
     let now = Instant::now();
-    let mut stated = ActiveStatements::default();
-    stated.rest(now, first);
-    stated.rest(now + after, second);
+    let mut statements = ActiveStatements::default();
+    statements.rest(now, first);
+    statements.rest(now + after, second);
     assert!(matches!(
-        stated.obstacle(now + ends - MS),
+        statements.obstacle(now + rest_end - MS),
         Some(Obstacle::Rests(_))
     ));
-    assert_eq!(stated.obstacle(now + ends), None);
+    assert_eq!(statements.obstacle(now + rest_end), None);
 }
 
 /// Outcomes of the first request after a rest, and the obstacle that follows.
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -186,7 +186,7 @@
         };
         let holders = state
             .roster
-            .parts
+            .shares
             .iter()
             .map(|(host, part)| (host, part.incarnation));
         let (present, gone): (Vec<_>, Vec<_>) =
