--- a/crates/steering/src/route/caller_timeouts.rs
+++ b/crates/steering/src/route/caller_timeouts.rs
@@ -18,14 +18,14 @@
 /// the order of retries depends on the result.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallerTimeouts {
-    longest: Duration,
+    longest_timeout: Duration,
 }
 
 impl CallerTimeouts {
     /// Records a caller's timeout and returns whether the caller came before.
-    pub fn take(&mut self, time: Duration) -> CallerAttempt {
-        self.longest = self.longest.mul_f64(LONGEST_DECAY).max(time);
-        match time < self.longest.mul_f64(RETURNING_TIMEOUT_SHARE) {
+    pub fn take(&mut self, timeout: Duration) -> CallerAttempt {
+        self.longest_timeout = self.longest_timeout.mul_f64(LONGEST_DECAY).max(timeout);
+        match timeout < self.longest_timeout.mul_f64(RETURNING_TIMEOUT_SHARE) {
             true => CallerAttempt::Later,
             false => CallerAttempt::First,
         }
--- a/crates/steering/src/route/catalog.rs
+++ b/crates/steering/src/route/catalog.rs
@@ -162,12 +162,12 @@
     /// Removes a report, at once or when its upstream has had time to renew it. Returns
     /// true if it is removed at once.
     fn remove(&mut self, now: Instant, id: &str) -> bool {
-        let may_have_lapsed = self.store_back.is_some_and(|back| {
-            let lapses_until = back + LAPSE_PROPAGATION_LIMIT;
-            back <= now && now <= lapses_until
+        let may_have_expired = self.store_back.is_some_and(|back| {
+            let expired_until = back + LAPSE_PROPAGATION_LIMIT;
+            back <= now && now <= expired_until
         });
         match self.listed.get_mut(id) {
-            Some(listed) if listed.vanished || may_have_lapsed => {
+            Some(listed) if listed.vanished || may_have_expired => {
                 listed.vanished = true;
                 false
             }
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -8,7 +8,7 @@
 use super::homes::rank;
 use super::pace::cold_share;
 use super::requirements::Requirements;
-use super::unavailable::{PassedOver, Unavailable};
+use super::unavailable::{SkippedUpstreams, Unavailable};
 use super::upstream::UpstreamId;
 use super::view::{RegionPool, Upstream};
 use crate::ids::HostName;
@@ -27,6 +27,7 @@
 /// Share of an upstream's slots taken by the requests of all hosts for one object, from
 /// which a second home may relieve a first that is too full.
 const HOT_OBJECT_SHARE: f64 = 0.5;
+
 /// The selected upstream with the data that led to its selection.
 #[derive(Debug, Clone)]
 pub struct Choice {
@@ -55,11 +56,11 @@
     /// request. A request may wait up to 300 ms for a connection, and the upstream may
     /// answer others meanwhile.
     pub fn new_obstacle(&self, now: Instant) -> Option<Obstacle> {
-        let condition = self.upstream.state();
-        let obstacle = condition.obstacle(now);
-        let barring = obstacle.filter(|obstacle| obstacle.bars_chosen());
-        let lacks_token = !self.has_token && condition.statements.limit_heard(now).is_some();
-        barring.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
+        let state = self.upstream.state();
+        let obstacle = state.obstacle(now);
+        let blocking = obstacle.filter(|obstacle| obstacle.bars_chosen());
+        let lacks_token = !self.has_token && state.statements.limit_heard(now).is_some();
+        blocking.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
     }
 
     /// Returns the rate limit of which the request needs a token before it is sent.
@@ -70,10 +71,10 @@
     /// Counts a request that is about to be sent. `object` is the hash of its object, if it
     /// has one.
     pub fn note_sent(&self, now: Instant, object: Option<u64>) {
-        let mut condition = self.upstream.state();
-        condition.cold_sends.take(now);
+        let mut state = self.upstream.state();
+        state.cold_sends.take(now);
         if let Some(object) = object {
-            condition.sent_objects.sent(now, object);
+            state.sent_objects.sent(now, object);
         }
     }
 
@@ -95,50 +96,50 @@
 /// Returns [`Unavailable`] with the cause and a retry time if no upstream can take the request.
 pub fn choose(
     pool: &RegionPool,
-    wish: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     now: Instant,
 ) -> Result<Choice, Unavailable> {
     let Candidates {
         healthy,
         fallback,
-        passed_over,
-    } = match wish.by_object {
-        true => ranked_candidates(pool, wish, now, HOMES_COMPARED),
-        false => random_candidates(pool, wish, now),
+        skipped,
+    } = match requirements.by_object {
+        true => ranked_candidates(pool, requirements, now, HOMES_COMPARED),
+        false => random_candidates(pool, requirements, now),
     };
-    let chosen = best(healthy, wish).or_else(|no_room| {
+    let chosen = best(healthy, requirements).or_else(|unavailable| {
         // Fallback candidates are used only if no other candidate is reachable.
-        match no_room.is_reachable() {
-            true => Err(no_room),
-            false => best(fallback, wish),
+        match unavailable.is_reachable() {
+            true => Err(unavailable),
+            false => best(fallback, requirements),
         }
     });
     match chosen {
         Ok(choice) => Ok(Choice {
-            passed_over: passed_over.named,
+            passed_over: skipped.first_ids,
             ..choice
         }),
-        Err(no_room) => Err(with_stated_cause(no_room, passed_over, wish)),
+        Err(unavailable) => Err(with_stated_cause(unavailable, skipped, requirements)),
     }
 }
 
-/// Adds the statements of skipped upstreams to the refusal.
+/// Adds the skipped upstreams, and the cause that their statements give.
 fn with_stated_cause(
-    no_room: Unavailable,
-    passed_over: PassedOver,
-    wish: &Requirements<'_>,
+    unavailable: Unavailable,
+    skipped: SkippedUpstreams,
+    requirements: &Requirements<'_>,
 ) -> Unavailable {
-    let no_room = match (passed_over.rest, passed_over.limit) {
-        _ if no_room.is_reachable() => no_room,
+    let unavailable = match (skipped.rest, skipped.next_token) {
+        _ if unavailable.is_reachable() => unavailable,
         (Some(rest), limit) if limit.is_none_or(|limit| rest < limit.wait) => {
-            Unavailable::resting(rest, wish.typical_work)
+            Unavailable::resting(rest, requirements.typical_work)
         }
-        (_, Some(limit)) => Unavailable::limited(limit),
-        _ => no_room,
+        (_, Some(limit)) => Unavailable::rate_limited(limit),
+        _ => unavailable,
     };
     Unavailable {
-        passed_over: passed_over.named,
-        ..no_room
+        passed_over: skipped.first_ids,
+        ..unavailable
     }
 }
 
@@ -147,12 +148,16 @@
 /// that know the same loads do not all send to the same upstream (Mitzenmacher, "The power
 /// of two choices in randomized load balancing", IEEE Transactions on Parallel and
 /// Distributed Systems 12(10), 2001). If both are full, all upstreams are compared.
-fn random_candidates(pool: &RegionPool, wish: &Requirements<'_>, now: Instant) -> Candidates {
-    let candidates = ranked_candidates(pool, wish, now, 2);
+fn random_candidates(
+    pool: &RegionPool,
+    requirements: &Requirements<'_>,
+    now: Instant,
+) -> Candidates {
+    let candidates = ranked_candidates(pool, requirements, now, 2);
     let is_free = |choice: &Choice| choice.expectation.wait.is_zero();
     match candidates.healthy.iter().any(is_free) {
         true => candidates,
-        false => ranked_candidates(pool, wish, now, usize::MAX),
+        false => ranked_candidates(pool, requirements, now, usize::MAX),
     }
 }
 
@@ -163,39 +168,37 @@
     /// Upstreams in a zone that is suspected to be down, or whose rate limit assigns the
     /// object to other upstreams.
     fallback: Vec<Choice>,
-    passed_over: PassedOver,
+    skipped: SkippedUpstreams,
 }
 
-/// Returns the first `most` healthy upstreams in the object's ranking, and the fallback and
+/// Returns the first `max` healthy upstreams in the object's ranking, and the fallback and
 /// skipped upstreams ranked before them.
 fn ranked_candidates(
     pool: &RegionPool,
-    wish: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     now: Instant,
-    most: usize,
+    max: usize,
 ) -> Candidates {
     let members = pool.upstreams.iter();
     let members = members.map(|upstream| (upstream.hash, f64::from(upstream.report.slots)));
     let mut candidates = Candidates::default();
-    for (rank, index) in rank(wish.object, members).enumerate() {
+    for (rank, index) in rank(requirements.object, members).enumerate() {
         let upstream = &pool.upstreams[index];
         let obstacle = upstream.state().obstacle(now);
         if let Some(obstacle) = obstacle {
-            candidates
-                .passed_over
-                .add(upstream, obstacle, HOMES_COMPARED);
+            candidates.skipped.add(upstream, obstacle, HOMES_COMPARED);
             continue;
         }
-        let Some(choice) = candidate(upstream, rank, wish, now) else {
+        let Some(choice) = candidate(upstream, rank, requirements, now) else {
             continue;
         };
         let is_fallback =
-            upstream.zone().is_suspected_down(now) || !upstream.keeps_object(now, wish);
+            upstream.zone().is_suspected_down(now) || !upstream.keeps_object(now, requirements);
         match is_fallback {
             true => candidates.fallback.push(choice),
             false => candidates.healthy.push(choice),
         }
-        if candidates.healthy.len() == most {
+        if candidates.healthy.len() == max {
             break;
         }
     }
@@ -206,7 +209,7 @@
 /// its wait is too long, another candidate is used only for an object whose requests are
 /// more than one upstream can serve. For any other object a further upstream would have to
 /// fetch the object and evict another one, and would be full next.
-fn best(ranked: Vec<Choice>, wish: &Requirements<'_>) -> Result<Choice, Unavailable> {
+fn best(ranked: Vec<Choice>, requirements: &Requirements<'_>) -> Result<Choice, Unavailable> {
     let first = &ranked.first().ok_or_else(no_candidates)?.expectation;
     // A first home that misses the goal even for held objects does not count as a home:
     // another upstream takes over its objects for a long time.
@@ -222,7 +225,7 @@
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut ranked = ranked.into_iter().map(|(_, choice)| choice);
     let best = ranked.next().ok_or_else(no_candidates)?;
-    let is_acceptable = |choice: &Choice| is_acceptable(choice.expectation.wait, wish);
+    let is_acceptable = |choice: &Choice| is_acceptable(choice.expectation.wait, requirements);
     if is_acceptable(&best) {
         return Ok(best);
     }
@@ -238,8 +241,10 @@
     affinity.is_some_and(|affinity| affinity.last_sent != LastSent::Recent)
 }
 
-fn is_acceptable(wait: Duration, wish: &Requirements<'_>) -> bool {
-    wait <= wish.latency_goal.mul_f64(MAX_WAIT_GOALS * wish.urgency)
+fn is_acceptable(wait: Duration, requirements: &Requirements<'_>) -> bool {
+    wait <= requirements
+        .latency_goal
+        .mul_f64(MAX_WAIT_GOALS * requirements.urgency)
 }
 
 fn no_candidates() -> Unavailable {
@@ -251,45 +256,50 @@
 fn candidate(
     upstream: &Arc<Upstream>,
     rank: usize,
-    wish: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     now: Instant,
 ) -> Option<Choice> {
-    let hosts = wish.region_hosts.map_or(1, <[HostName]>::len);
+    let hosts = requirements.region_hosts.map_or(1, <[HostName]>::len);
     let load = upstream.load(now, hosts);
-    let mut condition = upstream.state();
-    if wish.excluded.contains(&upstream.report.id) {
+    let mut state = upstream.state();
+    if requirements.excluded.contains(&upstream.report.id) {
         return None;
     }
-    let limit_per_s = wish.terms.and_then(|terms| terms.cold_per_s);
+    let limit_per_s = requirements.terms.and_then(|terms| terms.cold_per_s);
     let cold = upstream.is_cold(now);
     if let Some(limit_per_s) = limit_per_s.filter(|_| cold) {
-        let most = (wish.cold_limit_per_s)(limit_per_s);
-        let share = cold_share(most, &upstream.report.id, wish.this_host, wish.region_hosts);
-        if !condition.cold_sends.has_room(now, share) {
+        let max = (requirements.cold_limit_per_s)(limit_per_s);
+        let share = cold_share(
+            max,
+            &upstream.report.id,
+            requirements.this_host,
+            requirements.region_hosts,
+        );
+        if !state.cold_sends.has_room(now, share) {
             return None;
         }
     }
-    let affinity = wish.by_object.then(|| Affinity {
-        last_sent: condition.sent_objects.last_sent(now, wish.object),
+    let affinity = requirements.by_object.then(|| Affinity {
+        last_sent: state.sent_objects.last_sent(now, requirements.object),
         rank,
     });
-    let object_requests_per_s = condition.sent_objects.per_s(now, wish.object) * hosts as f64;
+    let object_requests_per_s = state.sent_objects.per_s(now, requirements.object) * hosts as f64;
     let snapshot = UpstreamSnapshot {
         load,
         slots: f64::from(upstream.report.slots),
         affinity,
         cold,
-        speed: condition.speed.times(now),
+        speed: state.speed.times(now),
         object_requests_per_s,
     };
     Some(Choice {
         upstream: Arc::clone(upstream),
         rank,
         load,
-        load_age: condition.load_age(now),
+        load_age: state.load_age(now),
         cold,
-        expectation: predict(wish, &snapshot),
-        connections: wish.terms.map(|terms| terms.connections),
+        expectation: predict(requirements, &snapshot),
+        connections: requirements.terms.map(|terms| terms.connections),
         passed_over: Vec::new(),
         has_token: false,
     })
--- a/crates/steering/src/route/document_change.rs
+++ b/crates/steering/src/route/document_change.rs
@@ -39,7 +39,7 @@
         let routes = routes.map(|(_, route)| route.clone()).collect();
         let services = newer.services.iter();
         let changed = services.filter(|(name, terms)| base.services.get(*name) != Some(terms));
-        let kept = |name: &&ServiceName| newer.services.contains_key(*name);
+        let is_kept = |name: &&ServiceName| newer.services.contains_key(*name);
         let mut dropped: BTreeMap<&CustomerName, &Customer> = by_name(base);
         let customers = newer.customers.iter();
         let customers = customers.filter(|new| dropped.remove(&new.name) != Some(*new));
@@ -53,7 +53,12 @@
             services: changed
                 .map(|(n, terms)| (n.clone(), terms.clone()))
                 .collect(),
-            dropped_services: base.services.keys().filter(|n| !kept(n)).cloned().collect(),
+            dropped_services: base
+                .services
+                .keys()
+                .filter(|n| !is_kept(n))
+                .cloned()
+                .collect(),
             customers,
             dropped_customers: dropped.into_keys().cloned().collect(),
         }
--- a/crates/steering/src/route/expectation.rs
+++ b/crates/steering/src/route/expectation.rs
@@ -64,7 +64,7 @@
 }
 
 /// Predicts how a request fares at an upstream.
-pub(super) fn predict(wish: &Requirements<'_>, snapshot: &UpstreamSnapshot) -> Expectation {
+pub(super) fn predict(requirements: &Requirements<'_>, snapshot: &UpstreamSnapshot) -> Expectation {
     let UpstreamSnapshot {
         load,
         slots,
@@ -74,30 +74,38 @@
         object_requests_per_s,
     } = *snapshot;
     let queued_ahead = (load + 1.0 - slots).max(0.0);
-    let wait = wish.typical_work.mul_f64(speed * queued_ahead / slots);
-    let work = wish.estimate.work(affinity, cold).times(speed);
-    let after_wait = |work: Duration| on_time_probability(wish, wait + work);
+    let wait = requirements
+        .typical_work
+        .mul_f64(speed * queued_ahead / slots);
+    let work = requirements.estimate.work(affinity, cold).times(speed);
+    let after_wait = |work: Duration| on_time_probability(requirements, wait + work);
     let on_time = work.hit_probability * after_wait(work.if_held)
         + (1.0 - work.hit_probability) * after_wait(work.if_fetched);
     let answer_utility = LATE_UTILITY + (1.0 - LATE_UTILITY) * on_time;
-    let full = (load / slots / FULL_LOAD).min(1.0);
-    let relative_work = work.mean().as_secs_f64() / wish.typical_work.as_secs_f64().max(1e-6);
+    let load_factor = (load / slots / FULL_LOAD).min(1.0);
+    let relative_work =
+        work.mean().as_secs_f64() / requirements.typical_work.as_secs_f64().max(1e-6);
     Expectation {
         affinity,
         wait,
         work,
         speed,
         object_share: object_requests_per_s * work.if_held.as_secs_f64() / slots,
-        too_slow: speed > 1.0 && work.if_held > wish.latency_goal.mul_f64(GOAL_SHARE_FOR_WORK),
-        worth: wish.urgency * answer_utility - CONGESTION_COST * relative_work * full * full,
+        too_slow: speed > 1.0
+            && work.if_held > requirements.latency_goal.mul_f64(GOAL_SHARE_FOR_WORK),
+        worth: requirements.urgency * answer_utility
+            - CONGESTION_COST * relative_work * load_factor * load_factor,
     }
 }
 
 /// Returns the probability that a request is answered within its goal if it takes `more`
 /// from now on.
-fn on_time_probability(wish: &Requirements<'_>, remaining: Duration) -> f64 {
-    let goal_left =
-        wish.latency_goal.mul_f64(GOAL_SHARE_FOR_WORK).as_secs_f64() - wish.elapsed.as_secs_f64();
+fn on_time_probability(requirements: &Requirements<'_>, remaining: Duration) -> f64 {
+    let goal_left = requirements
+        .latency_goal
+        .mul_f64(GOAL_SHARE_FOR_WORK)
+        .as_secs_f64()
+        - requirements.elapsed.as_secs_f64();
     let spread = WORK_SPREAD * remaining.as_secs_f64() + 0.005;
     1.0 / (1.0 + ((remaining.as_secs_f64() - goal_left) / spread).exp())
 }
--- a/crates/steering/src/route/feed_timing.rs
+++ b/crates/steering/src/route/feed_timing.rs
@@ -8,7 +8,7 @@
 /// Age of a host's state, as a share of the tightest bound, at which it no longer waits for
 /// others.
 const STALE_SHARE: f64 = 0.6;
-/// Time between two polls of the leader, as a share of the tightest bound.
+/// Time between two polls of the poller, as a share of the tightest bound.
 const POLL_INTERVAL_SHARE: f64 = 0.25;
 /// Time for which a poll waits for changes, as a share of the tightest bound.
 const POLL_WAIT_SHARE: f64 = 0.2;
@@ -64,6 +64,6 @@
 /// ended. With pauses of up to 3.2 s, a host polled as late as 4.0 s after a cut but
 /// counted as in contact after 3 s (sum of the constants).
 pub fn max_retry_pause(contact: Duration) -> Duration {
-    let others = STORE_CALL_LIMIT + FIRST_ANSWER_TIME + LAPSE_PROPAGATION_LIMIT;
-    contact.saturating_sub(others).max(MIN_PAUSE_LIMIT)
+    let reserved = STORE_CALL_LIMIT + FIRST_ANSWER_TIME + LAPSE_PROPAGATION_LIMIT;
+    contact.saturating_sub(reserved).max(MIN_PAUSE_LIMIT)
 }
--- a/crates/steering/src/route/health.rs
+++ b/crates/steering/src/route/health.rs
@@ -12,9 +12,10 @@
 /// counts as unreachable. If half of the answers break off, one run in sixteen is this
 /// long.
 const MAX_CONSECUTIVE_BROKEN: u32 = 4;
-/// Minimum number of complete answers needed to judge whether misses are an exception.
+/// Minimum number of complete answers needed to judge whether failed attempts are an
+/// exception.
 const MIN_COMPLETE_ANSWERS: f64 = 4.0;
-/// Minimum share of complete answers at which a missed request is worth a retry on the same
+/// Minimum share of complete answers at which a failed attempt is worth a retry on the same
 /// upstream. Another upstream would have to fetch the object and would answer late.
 const MIN_COMPLETE_SHARE: f64 = 0.3;
 /// Time constant for the decay of these counts: after this time an answer counts a third.
@@ -73,7 +74,7 @@
     /// Recent complete answers.
     complete: DecayingCount,
     /// Recent requests that the upstream refused or broke off.
-    missed: DecayingCount,
+    failed_attempts: DecayingCount,
     ejected_until: Option<Instant>,
 }
 
@@ -86,7 +87,7 @@
                 self.record_alive();
             }
             AnswerOutcome::Refused => {
-                self.missed.add(now);
+                self.failed_attempts.add(now);
                 self.record_alive();
             }
             AnswerOutcome::Unreachable => self.record_failure(now),
@@ -101,10 +102,10 @@
     }
 
     /// Returns whether a request that the upstream refused or broke off may be sent there
-    /// again: misses are an exception there, and the upstream holds the object.
+    /// again: failed attempts are an exception there, and the upstream holds the object.
     pub fn allows_retry(&self, now: Instant) -> bool {
-        let (complete, missed) = (self.complete.count(now), self.missed.count(now));
-        complete >= MIN_COMPLETE_ANSWERS && complete >= (complete + missed) * MIN_COMPLETE_SHARE
+        let (complete, failed) = (self.complete.count(now), self.failed_attempts.count(now));
+        complete >= MIN_COMPLETE_ANSWERS && complete >= (complete + failed) * MIN_COMPLETE_SHARE
     }
 
     fn record_alive(&mut self) {
@@ -116,7 +117,7 @@
     /// An upstream that breaks off some answers still holds its objects and serves most
     /// work on them sooner than another upstream could, so it is not ejected at once.
     fn record_broken(&mut self, now: Instant) {
-        self.missed.add(now);
+        self.failed_attempts.add(now);
         self.consecutive_broken += 1;
         if self.consecutive_broken >= MAX_CONSECUTIVE_BROKEN {
             self.record_failure(now);
--- a/crates/steering/src/route/host_table.rs
+++ b/crates/steering/src/route/host_table.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct HostTable {
     hosts: BTreeMap<HostName, KnownHost>,
-    me: HostName,
+    this_host: HostName,
     list: HostList,
     /// Time at which this host's own row was removed from the list.
     row_removed_at: Option<Instant>,
@@ -49,9 +49,9 @@
 
 impl HostTable {
     /// Creates a table without other hosts.
-    pub fn new(me: &str) -> Self {
+    pub fn new(this_host: &str) -> Self {
         HostTable {
-            me: me.to_owned(),
+            this_host: this_host.to_owned(),
             ..HostTable::default()
         }
     }
@@ -59,12 +59,16 @@
     /// Applies changes of the store's list, or a complete snapshot, and returns what has
     /// changed. A host is advertised to callers only after its first heartbeat.
     pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
-        let was_listed = self.list.has(&self.me);
+        let was_listed = self.list.has(&self.this_host);
         let changed_records = self.list.apply(changes);
-        if was_listed && !self.list.has(&self.me) {
+        if was_listed && !self.list.has(&self.this_host) {
             self.row_removed_at = Some(now);
         }
-        for entry in self.list.rows().filter(|entry| entry.name != self.me) {
+        for entry in self
+            .list
+            .rows()
+            .filter(|entry| entry.name != self.this_host)
+        {
             let known = self.hosts.get_mut(&entry.name);
             let same = |known: &&mut KnownHost| known.entry.peer_address == entry.peer_address;
             if let Some(known) = known.filter(same) {
@@ -139,8 +143,9 @@
     /// row by which all other hosts count it. A host that no other host knows would exceed
     /// the limits, whatever its own view.
     pub fn has_share(&self, now: Instant) -> bool {
-        let is_kept = |gone: Instant| now.saturating_duration_since(gone) < OWN_SHARE_KEPT_FOR;
-        self.list.has(&self.me) || self.row_removed_at.is_some_and(is_kept)
+        let is_kept =
+            |removed_at: Instant| now.saturating_duration_since(removed_at) < OWN_SHARE_KEPT_FOR;
+        self.list.has(&self.this_host) || self.row_removed_at.is_some_and(is_kept)
     }
 
     /// Returns whether another host has a share of global limits, as far as this host
--- a/crates/steering/src/route/pace.rs
+++ b/crates/steering/src/route/pace.rs
@@ -37,25 +37,35 @@
 
 /// Returns a host's share of a limit. The share is zero while the hosts are unknown: after
 /// a restart of all hosts each would otherwise use the whole limit.
-fn share_of(whole: f64, hosts: Option<usize>) -> f64 {
-    hosts.map_or(0.0, |hosts| whole / hosts.max(1) as f64)
+fn share_of(limit: f64, hosts: Option<usize>) -> f64 {
+    hosts.map_or(0.0, |hosts| limit / hosts.max(1) as f64)
 }
 
-/// Returns the number of requests that the host `me` may send to a cold upstream in a
+/// Returns the number of requests that the host `this_host` may send to a cold upstream in a
 /// window, given the `most_per_s` that the upstream may receive per second. `hosts` are the
-/// hosts that may send to it, `me` among them; `None` while they are unknown.
+/// hosts that may send to it, `this_host` among them; `None` while they are unknown.
 ///
 /// If there are more hosts than requests, each request is assigned to one host by the
 /// upstream's rendezvous ranking.
-pub fn cold_share(most_per_s: f64, upstream: &str, me: &str, hosts: Option<&[HostName]>) -> usize {
+pub fn cold_share(
+    most_per_s: f64,
+    upstream: &str,
+    this_host: &str,
+    hosts: Option<&[HostName]>,
+) -> usize {
     let Some(hosts) = hosts else { return 0 };
-    let most = (most_per_s * USED_SHARE).floor().max(0.0) as usize;
-    let each = most / hosts.len().max(1);
+    let max_per_window = (most_per_s * USED_SHARE).floor().max(0.0) as usize;
+    let each = max_per_window / hosts.len().max(1);
     if each > 0 {
         return each;
     }
     let ranked = rendezvous::rank(upstream, hosts.iter().map(String::as_str));
-    usize::from(ranked.iter().take(most).any(|host| *host == me))
+    usize::from(
+        ranked
+            .iter()
+            .take(max_per_window)
+            .any(|host| *host == this_host),
+    )
 }
 
 /// Recent requests sent by this host to a cold upstream.
@@ -82,16 +92,16 @@
     /// Retries allowed per request.
     ratio: f64,
     /// Additional retries allowed in a window for all hosts together.
-    spare: f64,
+    slack: f64,
     /// Window over which both are counted.
     window: Duration,
     requests: EventWindow,
-    repeats: EventWindow,
+    retries: EventWindow,
     /// Retries of requests whose callers came for the first time.
-    early_repeats: EventWindow,
+    first_time_retries: EventWindow,
     /// Failed attempts of requests whose callers had been refused before, whether retried
     /// or not.
-    late_misses: EventWindow,
+    returning_failures: EventWindow,
 }
 
 /// Whether a request's caller was refused before, as far as can be known.
@@ -105,10 +115,10 @@
 
 impl RetryShare {
     /// Creates a quota without any requests counted.
-    pub fn new(ratio: f64, spare: f64, window: Duration) -> Self {
+    pub fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         RetryShare {
             ratio,
-            spare,
+            slack,
             window,
             ..RetryShare::default()
         }
@@ -121,8 +131,8 @@
     }
 
     /// Changes the limits; counted requests remain counted.
-    pub fn set_bound(&mut self, ratio: f64, spare: f64, window: Duration) {
-        (self.ratio, self.spare, self.window) = (ratio, spare, window);
+    pub fn set_bound(&mut self, ratio: f64, slack: f64, window: Duration) {
+        (self.ratio, self.slack, self.window) = (ratio, slack, window);
     }
 
     /// Takes one retry for a request whose attempt failed, and returns whether the quota
@@ -132,22 +142,29 @@
     /// first-time callers try again by themselves. With 55 of 100 requests refused at
     /// random and callers that try again once, 18 instead of 22 of 100 stay unserved
     /// (simulated in `tests/route_pace.rs`).
-    pub fn take_retry(&mut self, now: Instant, hosts: Option<usize>, of: CallerAttempt) -> bool {
+    pub fn take_retry(
+        &mut self,
+        now: Instant,
+        hosts: Option<usize>,
+        attempt: CallerAttempt,
+    ) -> bool {
         let window = self.window;
         let requests = self.requests.count(now, window) as f64;
-        let most = (requests * self.ratio + share_of(self.spare, hosts)) * USED_SHARE;
-        if of == CallerAttempt::Later {
-            self.late_misses.add(now);
+        let max_per_window = (requests * self.ratio + share_of(self.slack, hosts)) * USED_SHARE;
+        if attempt == CallerAttempt::Later {
+            self.returning_failures.add(now);
         }
-        let late_misses = self.late_misses.count(now, window) as f64;
-        let early = (self.early_repeats.count(now, window) + 1) as f64;
-        let fits = (self.repeats.count(now, window) + 1) as f64 <= most;
-        if !fits || (of == CallerAttempt::First && early > most - late_misses) {
+        let returning_failures = self.returning_failures.count(now, window) as f64;
+        let first_time = (self.first_time_retries.count(now, window) + 1) as f64;
+        let fits = (self.retries.count(now, window) + 1) as f64 <= max_per_window;
+        if !fits
+            || (attempt == CallerAttempt::First && first_time > max_per_window - returning_failures)
+        {
             return false;
         }
-        self.repeats.add(now);
-        if of == CallerAttempt::First {
-            self.early_repeats.add(now);
+        self.retries.add(now);
+        if attempt == CallerAttempt::First {
+            self.first_time_retries.add(now);
         }
         true
     }
--- a/crates/steering/src/route/poll_schedule.rs
+++ b/crates/steering/src/route/poll_schedule.rs
@@ -1,4 +1,5 @@
-//! Decides which host of a group polls the store for a feed on behalf of the others.
+//! Decides which host of a group polls the store for a feed on behalf of the others (the
+//! poller).
 
 use std::time::{Duration, Instant};
 
@@ -10,25 +11,25 @@
 /// Number of hosts to which one host of a group sends its whole state when all start at
 /// once. With 4, a zone of 40 hosts is served in three steps. Each host then sends some 70
 /// KB four times, which takes 0.1 s on a link of 20 Mbit/s.
-const CHILDREN: usize = 4;
+const MAX_BOOTSTRAP_CHILDREN: usize = 4;
 
-/// A host's role in following one feed.
+/// A host's schedule for following one feed.
 ///
 /// No host is elected. A host without recent knowledge polls the store and sends what it
 /// learns to the others. A host that receives updates from a higher-ranked host only
-/// listens. So the highest-ranked host that reaches the store ends up as the only one that
-/// polls. If this host vanishes, the others poll within [`PollSchedule::stale_after`].
+/// listens. So the highest-ranked host that reaches the store ends up as the only poller.
+/// If this host vanishes, the others poll within [`PollSchedule::stale_after`].
 ///
 /// Knowledge is as old as the store's answer that it is based on, however many hosts passed
 /// it on and however long the messages took.
 #[derive(Debug)]
 pub struct PollSchedule {
-    me: HostName,
+    this_host: HostName,
     feed: String,
     timing: FeedTiming,
     /// Time at which the updates from the hosts that this host listens to were current in
     /// the store, at the earliest.
-    told: Option<Instant>,
+    received_as_of: Option<Instant>,
     /// Time at which the known state was current in the store, at the earliest; `None`
     /// before anything is known.
     as_of: Option<Instant>,
@@ -50,14 +51,14 @@
 }
 
 impl PollSchedule {
-    /// Creates the role of a host that has received nothing yet. `tightest_bound` is the shortest
-    /// time within which a change of the feed must take effect.
-    pub fn new(me: &str, feed: &str, tightest_bound: Duration) -> Self {
+    /// Creates the schedule of a host that has received nothing yet. `tightest_bound` is
+    /// the shortest time within which a change of the feed must take effect.
+    pub fn new(this_host: &str, feed: &str, tightest_bound: Duration) -> Self {
         PollSchedule {
-            me: me.to_owned(),
+            this_host: this_host.to_owned(),
             feed: feed.to_owned(),
             timing: FeedTiming { tightest_bound },
-            told: None,
+            received_as_of: None,
             as_of: None,
             reaches_store: true,
             gap: false,
@@ -107,8 +108,10 @@
     }
 
     fn listen_time(&self, now: Instant) -> Duration {
-        let told = self.told.map(|as_of| self.time_until_stale(as_of, now));
-        told.unwrap_or_default()
+        let listen_time = self
+            .received_as_of
+            .map(|as_of| self.time_until_stale(as_of, now));
+        listen_time.unwrap_or_default()
     }
 
     fn time_until_stale(&self, as_of: Instant, now: Instant) -> Duration {
@@ -135,12 +138,12 @@
     /// Records an update from the host `from` that was current in the store at `as_of`.
     /// This host listens only to higher-ranked hosts, and to any host while it can't reach
     /// the store itself.
-    pub fn received_update(&mut self, from: &str, used: UpdateKind, as_of: Instant) {
-        let first = rendezvous::owner(&self.feed, [self.me.as_str(), from]);
+    pub fn received_update(&mut self, from: &str, kind: UpdateKind, as_of: Instant) {
+        let first = rendezvous::owner(&self.feed, [self.this_host.as_str(), from]);
         if first == Some(from) || !self.reaches_store {
-            self.told = self.told.max(Some(as_of));
+            self.received_as_of = self.received_as_of.max(Some(as_of));
         }
-        match used {
+        match kind {
             UpdateKind::Gap => self.gap = true,
             UpdateKind::New | UpdateKind::Known => self.advance_as_of(as_of),
         }
@@ -149,7 +152,7 @@
     /// Records that the whole state as of `as_of` was received from another host, from
     /// which further updates are expected.
     pub fn bootstrapped(&mut self, as_of: Instant) {
-        self.told = self.told.max(Some(as_of));
+        self.received_as_of = self.received_as_of.max(Some(as_of));
         self.gap_filled(as_of);
     }
 
@@ -178,21 +181,22 @@
     /// Returns the hosts that this host, just started and without any state, asks instead
     /// of the store: hosts of its group that rank before it, the nearest first; none if
     /// this host ranks first. These hosts form a tree, so that a whole group can start at
-    /// once and no host answers more than [`CHILDREN`] others.
+    /// once and no host answers more than [`MAX_BOOTSTRAP_CHILDREN`] others.
     pub fn bootstrap_hosts<'a>(&self, group: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
         let ranked = rendezvous::rank(&self.feed, group);
-        let before =
-            |name: &&str| rendezvous::owner(&self.feed, [self.me.as_str(), *name]) == Some(*name);
+        let ranks_higher = |name: &&str| {
+            rendezvous::owner(&self.feed, [self.this_host.as_str(), *name]) == Some(*name)
+        };
         let mut place = ranked
             .iter()
-            .filter(|name| **name != self.me && before(name))
+            .filter(|name| **name != self.this_host && ranks_higher(name))
             .count();
-        let mut elders = Vec::new();
+        let mut sources = Vec::new();
         while place > 0 {
-            place = (place - 1) / CHILDREN;
-            elders.push(ranked[place]);
+            place = (place - 1) / MAX_BOOTSTRAP_CHILDREN;
+            sources.push(ranked[place]);
         }
-        elders
+        sources
     }
 
     /// Decides how to handle an update up to `version` if this host is at version `at`. A
--- a/crates/steering/src/route/store_answers.rs
+++ b/crates/steering/src/route/store_answers.rs
@@ -68,24 +68,24 @@
 
     /// Merges what another host reports. While the store answers, an update arrives at
     /// least once per `usual_silence`.
-    pub fn merge(&mut self, now: Instant, told: StoreUptime, usual_silence: Duration) {
+    pub fn merge(&mut self, now: Instant, received: StoreUptime, usual_silence: Duration) {
         let failing = std::mem::take(&mut self.failing);
-        let since = now.checked_sub(told.answering_for).unwrap_or(now);
+        let since = now.checked_sub(received.answering_for).unwrap_or(now);
         let Some(span) = &mut self.span else {
-            return self.start_span(since, now, told.away_before);
+            return self.start_span(since, now, received.away_before);
         };
         let silent_for = since.saturating_duration_since(span.until);
         // Another host was answered during the sender's outage.
         let is_sender_outage =
-            silent_for <= usual_silence && silent_for + MAX_UPDATE_DELAY < told.away_before;
+            silent_for <= usual_silence && silent_for + MAX_UPDATE_DELAY < received.away_before;
         if silent_for >= MIN_LAPSE_OUTAGE && !is_sender_outage {
             let seen_here = if failing { silent_for } else { Duration::ZERO };
-            return self.start_span(since, now, told.away_before.max(seen_here));
+            return self.start_span(since, now, received.away_before.max(seen_here));
         }
         span.until = now;
         if since < span.since {
             span.since = since;
-            span.away_before = told.away_before;
+            span.away_before = received.away_before;
         }
     }
 
--- a/crates/steering/src/route/unavailable.rs
+++ b/crates/steering/src/route/unavailable.rs
@@ -61,16 +61,16 @@
     /// Refusal because upstreams rest; the first rest ends after `rest`. The first answer
     /// after a rest decides whether it is over, so callers retry one typical work time
     /// after its end, spread over another one.
-    pub(super) fn resting(rest: Duration, usual: Duration) -> Self {
+    pub(super) fn resting(rest: Duration, typical_work: Duration) -> Self {
         Unavailable {
             cause: UnavailableCause::Resting,
-            retry_spread: usual,
-            ..Unavailable::unreachable(rest + usual)
+            retry_spread: typical_work,
+            ..Unavailable::unreachable(rest + typical_work)
         }
     }
 
-    /// Refusal because of a rate limit with this next token.
-    pub(super) fn limited(next: NextToken) -> Self {
+    /// Refusal because of rate limits, of which the next token is `next`.
+    pub(super) fn rate_limited(next: NextToken) -> Self {
         Unavailable {
             cause: UnavailableCause::RateLimited,
             retry_spread: next.spread,
@@ -88,16 +88,16 @@
 
 /// Upstreams skipped by a selection because of their own statements.
 #[derive(Debug, Default)]
-pub(super) struct PassedOver {
-    /// The first skipped upstreams, for the trace of the request.
-    pub named: Vec<UpstreamId>,
+pub(super) struct SkippedUpstreams {
+    /// The first skipped upstreams, for the request's log.
+    pub first_ids: Vec<UpstreamId>,
     /// Shortest rest among the object's first homes that rest. Callers with objects of
     /// different upstreams thus retry as the room of these upstreams returns.
     pub rest: Option<Duration>,
     resting: usize,
     /// Earliest next token among the object's first homes that are at their rate limits.
-    pub limit: Option<NextToken>,
-    limited: usize,
+    pub next_token: Option<NextToken>,
+    rate_limited: usize,
 }
 
 /// Time of the next token of a rate limit.
@@ -109,11 +109,11 @@
     pub spread: Duration,
 }
 
-impl PassedOver {
+impl SkippedUpstreams {
     /// Records a skipped upstream; `homes` is the number of homes of an object.
     pub fn add(&mut self, upstream: &Upstream, obstacle: Obstacle, homes: usize) {
-        if self.named.len() < MAX_RECORDED && obstacle.is_stated() {
-            self.named.push(upstream.report.id.clone());
+        if self.first_ids.len() < MAX_RECORDED && obstacle.is_stated() {
+            self.first_ids.push(upstream.report.id.clone());
         }
         if let Obstacle::Limits(wait) = obstacle {
             self.add_limited(upstream, wait, homes);
@@ -124,16 +124,17 @@
             _ => return,
         };
         if self.resting < homes {
-            self.rest = Some(self.rest.map_or(rest, |known| known.min(rest)));
+            self.rest = Some(self.rest.map_or(rest, |earliest| earliest.min(rest)));
         }
         self.resting += 1;
     }
 
     fn add_limited(&mut self, upstream: &Upstream, wait: Duration, homes: usize) {
-        if self.limited < homes && self.limit.is_none_or(|known| wait < known.wait) {
+        if self.rate_limited < homes && self.next_token.is_none_or(|earliest| wait < earliest.wait)
+        {
             let spread = upstream.state().statements.limit_turns_away();
-            self.limit = Some(NextToken { wait, spread });
+            self.next_token = Some(NextToken { wait, spread });
         }
-        self.limited += 1;
+        self.rate_limited += 1;
     }
 }
--- a/crates/steering/src/route/upstream.rs
+++ b/crates/steering/src/route/upstream.rs
@@ -35,18 +35,18 @@
 }
 
 impl ReportedUpstream {
-    /// Returns the key of this incarnation. Knowledge about another incarnation does not
-    /// apply to it.
+    /// Returns the identity and start time of this process. Knowledge about another start
+    /// does not apply to it.
     pub fn start(&self) -> (UpstreamId, Option<u64>) {
         (self.id.clone(), self.started_ms)
     }
 
-    /// Returns the hash of this incarnation, the same on every host.
+    /// Returns the hash of this process start, the same on every host.
     pub fn start_hash(&self) -> u64 {
         XxHash3_64::oneshot(format!("{} {:?}", self.id, self.started_ms).as_bytes())
     }
 
-    /// Returns whether this is a delayed report of an earlier incarnation than `known`.
+    /// Returns whether this is a delayed report of an earlier process start than `known`.
     pub fn is_before(&self, known: &ReportedUpstream) -> bool {
         matches!((self.started_ms, known.started_ms), (Some(own), Some(known)) if own < known)
     }
--- a/crates/steering/src/route/upstream_state.rs
+++ b/crates/steering/src/route/upstream_state.rs
@@ -27,7 +27,7 @@
 /// a vanished upstream.
 const SILENT_WORK_FACTOR: f64 = 1.5;
 
-/// Load and health of one incarnation of an upstream, as observed by this host.
+/// Load and health of one start of an upstream process, as observed by this host.
 #[derive(Debug, Default)]
 pub struct UpstreamState {
     /// Requests of this host in flight to the upstream.
@@ -42,7 +42,7 @@
     /// Longest work time of the requests in flight if their object is not held; zero if
     /// none is in flight.
     longest_work: Duration,
-    /// Whether another incarnation has taken over the address.
+    /// Whether another process start has taken over the address.
     replaced: bool,
     /// Requests that were sent to the upstream and then abandoned.
     pub abandoned: Abandoned,
@@ -100,7 +100,7 @@
         self.other_hosts = Some((others.max(0.0), now));
     }
 
-    /// Records that another incarnation has taken over the address.
+    /// Records that another process start has taken over the address.
     pub fn replaced(&mut self) {
         self.replaced = true;
     }
@@ -108,15 +108,15 @@
     /// Returns the number of requests running and waiting at the upstream. Without a
     /// current report, the load of other hosts is estimated from this host's own requests
     /// and the typical load. `hosts` is the number of hosts that send to the upstream, this
-    /// one included; `usual` is the typical load of such an upstream, if known.
-    pub fn load(&self, now: Instant, hosts: usize, usual: Option<f64>) -> f64 {
+    /// one included; `typical_load` is the typical load of such an upstream, if known.
+    pub fn load(&self, now: Instant, hosts: usize, typical_load: Option<f64>) -> f64 {
         let own = f64::from(self.in_flight);
         let others = match self.other_hosts.filter(|_| self.load_age(now).is_some()) {
             Some((others, _)) => others,
             None => estimate_others(
                 self.own_average.at(now, own, OWN_LOAD_TIME_CONSTANT),
                 hosts,
-                usual,
+                typical_load,
             ),
         };
         own + others
@@ -167,10 +167,10 @@
 /// to be at one upstream would be extrapolated to two hundred. The sample is therefore
 /// weighed against the typical load, as a Poisson count with a Gamma prior (Gelman et al.,
 /// "Bayesian Data Analysis", section 2.6).
-fn estimate_others(own: f64, hosts: usize, usual: Option<f64>) -> f64 {
+fn estimate_others(own: f64, hosts: usize, typical_load: Option<f64>) -> f64 {
     let sample = 1.0 / hosts.saturating_sub(1).max(1) as f64;
-    match usual.filter(|usual| *usual > 0.0) {
-        Some(usual) => (LOAD_PRIOR_SHAPE + own) / (LOAD_PRIOR_SHAPE / usual + sample),
+    match typical_load.filter(|typical_load| *typical_load > 0.0) {
+        Some(typical_load) => (LOAD_PRIOR_SHAPE + own) / (LOAD_PRIOR_SHAPE / typical_load + sample),
         None if hosts > 1 => own / sample,
         None => 0.0,
     }
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -39,7 +39,7 @@
     pub hash: u64,
     /// End of the warm-up; `None` if the upstream is warm.
     pub cold_until: Option<Instant>,
-    condition: Arc<Mutex<UpstreamState>>,
+    state: Arc<Mutex<UpstreamState>>,
     zone: Arc<Mutex<ZoneHealth>>,
     region: Arc<Mutex<RegionLoad>>,
 }
@@ -47,7 +47,7 @@
 impl Upstream {
     /// Locks and returns this host's observations of the upstream.
     pub fn state(&self) -> MutexGuard<'_, UpstreamState> {
-        lock(&self.condition)
+        lock(&self.state)
     }
 
     /// Locks and returns this host's observations of the upstream's zone.
@@ -66,16 +66,17 @@
     /// Returns the estimated number of requests running and waiting at the upstream.
     /// `hosts` is the number of hosts that send to it.
     pub fn load(&self, now: Instant, hosts: usize) -> f64 {
-        let usual = lock(&self.region).use_of_slots(now);
-        let usual = usual.map(|usual| usual * f64::from(self.report.slots));
-        self.state().load(now, hosts, usual)
+        let typical_load = lock(&self.region).use_of_slots(now);
+        let typical_load =
+            typical_load.map(|use_of_slots| use_of_slots * f64::from(self.report.slots));
+        self.state().load(now, hosts, typical_load)
     }
 
     /// Returns whether a request that the upstream refused or broke off may be sent there
-    /// again: it has a free slot, and misses are an exception there.
+    /// again: it has a free slot, and failed attempts are an exception there.
     pub fn allows_retry(&self, now: Instant) -> bool {
-        let has_room = self.load(now, 1) < f64::from(self.report.slots);
-        has_room && self.state().allows_retry(now)
+        let has_free_slot = self.load(now, 1) < f64::from(self.report.slots);
+        has_free_slot && self.state().allows_retry(now)
     }
 
     /// Returns whether the upstream keeps an object despite the rate limit that it
@@ -83,14 +84,14 @@
     ///
     /// Objects beyond the limit go to their next homes as a whole, selected by a hash that
     /// all hosts share. A decision per request would make both homes hold the object.
-    pub fn keeps_object(&self, now: Instant, wish: &Requirements<'_>) -> bool {
+    pub fn keeps_object(&self, now: Instant, requirements: &Requirements<'_>) -> bool {
         let Some(limit) = self.recent_limit_per_s(now) else {
             return true;
         };
-        let received_per_s = self.received_per_s(now, wish.typical_work);
+        let received_per_s = self.received_per_s(now, requirements.typical_work);
         let kept_share = (KEPT_RATE_FACTOR * limit / received_per_s * KEPT_SHARE_STEPS).ceil()
             / KEPT_SHARE_STEPS;
-        unit_hash(wish.object ^ self.hash) < kept_share
+        unit_hash(requirements.object ^ self.hash) < kept_share
     }
 
     /// Returns the rate limit in requests per second if it was declared recently. Later the
@@ -103,18 +104,18 @@
 
     /// Returns the requests per second that an upstream with this number of slots receives
     /// in its region.
-    fn received_per_s(&self, now: Instant, usual: Duration) -> f64 {
+    fn received_per_s(&self, now: Instant, typical_work: Duration) -> f64 {
         let use_of_slots = lock(&self.region).use_of_slots(now).unwrap_or(1.0);
         let slots = f64::from(self.report.slots);
-        use_of_slots * slots / usual.as_secs_f64().max(f64::MIN_POSITIVE)
+        use_of_slots * slots / typical_work.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
     /// Returns the number of requests that the upstream may work on concurrently: its
     /// slots, or what its rate limit allows during a typical work time if that is less.
-    fn capacity(&self, now: Instant, usual: Option<Duration>) -> f64 {
+    fn capacity(&self, now: Instant, typical_work: Option<Duration>) -> f64 {
         let slots = f64::from(self.report.slots);
-        match (self.recent_limit_per_s(now), usual) {
-            (Some(per_s), Some(usual)) => slots.min(per_s * usual.as_secs_f64()),
+        match (self.recent_limit_per_s(now), typical_work) {
+            (Some(per_s), Some(typical_work)) => slots.min(per_s * typical_work.as_secs_f64()),
             _ => slots,
         }
     }
@@ -125,11 +126,11 @@
     }
 }
 
-/// Returns whether the observations of an incarnation without a report must be kept. The
+/// Returns whether the observations of a process start without a report must be kept. The
 /// report may come back, and the upstream's statements still hold then. A request in flight
-/// holds the condition as well, as its answer may bring a statement.
-fn must_be_kept(condition: &Arc<Mutex<UpstreamState>>, now: Instant) -> bool {
-    Arc::strong_count(condition) > 1 || lock(condition).statements.is_remembered(now)
+/// holds the state as well, as its answer may bring a statement.
+fn must_be_kept(state: &Arc<Mutex<UpstreamState>>, now: Instant) -> bool {
+    Arc::strong_count(state) > 1 || lock(state).statements.is_remembered(now)
 }
 
 fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -153,30 +154,30 @@
     }
 
     /// Returns the number of requests that the upstreams may work on concurrently within
-    /// the rate limits that they declare. `usual` is the typical work time.
-    pub fn capacity(&self, now: Instant, usual: Option<Duration>) -> f64 {
+    /// the rate limits that they declare. `typical_work` is the typical work time.
+    pub fn capacity(&self, now: Instant, typical_work: Option<Duration>) -> f64 {
         let upstreams = self.upstreams.iter();
         upstreams
-            .map(|upstream| upstream.capacity(now, usual))
+            .map(|upstream| upstream.capacity(now, typical_work))
             .sum()
     }
 
-    /// Returns the load relative to the room; 1 is full. Unusable upstreams count as full.
-    /// `hosts` is the number of hosts that send to the upstreams, `usual` the typical work
-    /// time.
-    pub fn utilization(&self, now: Instant, hosts: usize, usual: Option<Duration>) -> f64 {
-        let room = self.capacity(now, usual);
-        if room == 0.0 {
+    /// Returns the load relative to the capacity; 1 is full. Unusable upstreams count as
+    /// full. `hosts` is the number of hosts that send to the upstreams, `typical_work` the
+    /// typical work time.
+    pub fn utilization(&self, now: Instant, hosts: usize, typical_work: Option<Duration>) -> f64 {
+        let capacity = self.capacity(now, typical_work);
+        if capacity == 0.0 {
             return f64::INFINITY;
         }
         let load = |upstream: &Arc<Upstream>| {
             let is_usable = upstream.state().is_usable(now);
             match is_usable {
                 true => upstream.load(now, hosts),
-                false => upstream.capacity(now, usual),
+                false => upstream.capacity(now, typical_work),
             }
         };
-        self.upstreams.iter().map(load).sum::<f64>() / room
+        self.upstreams.iter().map(load).sum::<f64>() / capacity
     }
 }
 
@@ -207,9 +208,9 @@
         let mut counts = StatementCounts::default();
         let pools = self.regions.values();
         for upstream in pools.flat_map(|region| &region.upstreams) {
-            let condition = upstream.state();
-            counts.limiting += usize::from(condition.statements.limit_heard(now).is_some());
-            match condition.obstacle(now) {
+            let state = upstream.state();
+            counts.limiting += usize::from(state.statements.limit_heard(now).is_some());
+            match state.obstacle(now) {
                 Some(Obstacle::Rests(_) | Obstacle::Returns) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
                 _ => {}
@@ -284,7 +285,7 @@
 /// Observations of this host, which outlive a view.
 #[derive(Debug, Default)]
 pub struct ObservedState {
-    /// Each incarnation of an upstream has its own entry, even if two incarnations share an
+    /// Each start of an upstream process has its own entry, even if two starts share an
     /// identity.
     upstreams: HashMap<(UpstreamId, Option<u64>), Arc<Mutex<UpstreamState>>>,
     zones: HashMap<ZoneName, Arc<Mutex<ZoneHealth>>>,
@@ -306,14 +307,14 @@
         catalog: &Catalog,
         evacuations: &Evacuations,
         regions: &BTreeMap<ZoneName, RegionName>,
-        conditions: &mut ObservedState,
+        states: &mut ObservedState,
         now: Instant,
     ) -> HashMap<ServiceName, ServicePool> {
         let mut pools: HashMap<ServiceName, ServicePool> = HashMap::new();
-        for listed in catalog.listed() {
-            let report = &listed.report;
-            let condition = conditions.upstreams.entry(report.start()).or_default();
-            let zone = conditions.zones.entry(report.zone.clone()).or_default();
+        for entry in catalog.listed() {
+            let report = &entry.report;
+            let state = states.upstreams.entry(report.start()).or_default();
+            let zone = states.zones.entry(report.zone.clone()).or_default();
             let Some(region) = regions.get(&report.zone) else {
                 continue;
             };
@@ -322,14 +323,14 @@
             }
             let warm_up = document.services.get(&report.service);
             let warm_up = warm_up.map_or(Duration::ZERO, |terms| terms.warm_up);
-            let evacuation_warm_up = evacuations.ended.get(&report.zone).map(|at| *at + warm_up);
+            let cold_after_evacuation = evacuations.ended.get(&report.zone).map(|at| *at + warm_up);
             let at = (report.service.clone(), region.clone());
             let upstream = Upstream {
                 hash: crate::rendezvous::hash(report.id.as_bytes()),
-                cold_until: listed.cold_until.max(evacuation_warm_up),
-                condition: Arc::clone(condition),
+                cold_until: entry.cold_until.max(cold_after_evacuation),
+                state: Arc::clone(state),
                 zone: Arc::clone(zone),
-                region: Arc::clone(conditions.regions.entry(at).or_default()),
+                region: Arc::clone(states.regions.entry(at).or_default()),
                 report: report.clone(),
             };
             let pool = pools.entry(report.service.clone()).or_default();
@@ -339,12 +340,12 @@
         for (name, pool) in &mut pools {
             pool.terms = document.services.get(name).cloned();
         }
-        let regions = &mut conditions.regions;
+        let regions = &mut states.regions;
         regions.retain(|(service, _), _| pools.contains_key(service));
         let current: HashSet<_> = catalog.listed().map(|l| l.report.start()).collect();
-        conditions
+        states
             .upstreams
-            .retain(|start, condition| current.contains(start) || must_be_kept(condition, now));
+            .retain(|start, state| current.contains(start) || must_be_kept(state, now));
         pools
     }
 }
