--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,19 +1,19 @@
-//! What the host believes: kept by one thread, published as views.
+//! The control thread: keeps the state of routes, upstreams and hosts, and publishes views of it.
 
-mod beliefs;
+mod feed_age;
 mod feeds;
 mod follower;
 mod group;
-mod heard;
 mod hosts;
+mod known_state;
 mod learn;
 mod limits;
 mod origin;
 mod outage;
-mod telling;
 mod tokens;
+mod update_sender;
 mod waits;
-mod works;
+mod work_updates;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 use peer::{Local, PeerClient};
 use steering::ids::{HostName, Incarnation};
 use steering::membership::HostEntry;
-use steering::route::{Feed, LimitAsks, LimitTokens, TokenPool};
+use steering::route::{Feed, HolderSelector, LimitTokens, TokenPool};
 use store::Records;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
@@ -35,59 +35,59 @@
 
 use crate::host::{Common, Stage};
 use crate::limits::LimitCall;
-use crate::suspects::FreshNews;
-use beliefs::Beliefs;
+use crate::suspects::PendingWorkUpdate;
+pub(crate) use feed_age::FeedAge;
 use follower::Follower;
-pub(crate) use heard::Heard;
+use known_state::KnownState;
 use outage::Outage;
-use telling::Telling;
+use update_sender::UpdateSender;
 
-/// Pace at which what runs out by itself is looked at, where nothing runs out earlier. A host
-/// that falls silent is noticed some seconds later, so this adds little.
-const LOOK_AT_TIMES_EVERY: Duration = Duration::from_millis(500);
+/// Longest interval between checks for expired state. Other hosts are treated as failed after
+/// several seconds of silence, so this interval adds little delay.
+const MAX_EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The control thread's state.
+/// State of the control thread.
 pub(crate) struct Control {
     common: Common,
     records: Box<dyn Records>,
     me: HostEntry,
     incarnation: Incarnation,
-    beliefs: RefCell<Beliefs>,
+    known_state: RefCell<KnownState>,
     routes: RefCell<Follower>,
     upstreams: RefCell<Follower>,
     hosts: RefCell<Follower>,
     outage: Outage,
-    /// Whether the store has been asked for the list of hosts, with or without success.
-    list_asked: watch::Sender<bool>,
-    /// Key that the deployment's hosts share, once it is known.
+    /// Whether the first request for the list of hosts has completed, successfully or not.
+    hosts_requested: watch::Sender<bool>,
+    /// Key shared by all hosts of the deployment; none until it is known.
     key: RefCell<Option<Rc<[u8]>>>,
-    /// What hosts need to call each other; none before the shared key is known.
+    /// Identity and key for connections to other hosts; none until the shared key is known.
     local: RefCell<Option<Local>>,
-    /// Clients of hosts that get heartbeats or news.
+    /// Clients of the hosts that receive heartbeats, updates or token requests.
     clients: RefCell<BTreeMap<HostName, Rc<PeerClient>>>,
-    /// News on their way to other hosts.
-    telling: Telling,
-    /// Pools of allowances that this host keeps.
+    /// Updates that are being sent to other hosts.
+    update_sender: UpdateSender,
+    /// Pools of customers' allowances that this host keeps.
     pool: RefCell<TokenPool>,
-    /// Hosts of the own zone that gave no answer about tokens, and when.
-    silent_near: RefCell<BTreeMap<HostName, Instant>>,
-    /// Parts that this host holds of limits that upstreams name.
+    /// Hosts of the own zone that did not answer a token request, and when they were asked.
+    unresponsive_zone_hosts: RefCell<BTreeMap<HostName, Instant>>,
+    /// Shares of upstreams' rate limits that this host holds.
     limit_tokens: RefCell<LimitTokens>,
-    /// Holders of such parts that this host asks.
-    limit_asks: RefCell<LimitAsks>,
-    /// Heartbeats sent so far.
-    beats: Cell<u64>,
+    /// State of this host's requests to the holders of upstreams' rate limits.
+    limit_asks: RefCell<HolderSelector>,
+    /// Number of heartbeats sent.
+    heartbeats_sent: Cell<u64>,
 }
 
-/// What the thread that serves callers asks of this one.
+/// Messages from the traffic thread to the control thread.
 pub(crate) struct Incoming {
-    /// Requests that wait for tokens of limits.
+    /// Requests that wait for a token of an upstream's rate limit.
     pub limit_calls: UnboundedReceiver<LimitCall>,
-    /// What others are to be told of work under which upstreams end.
-    pub work_news: UnboundedReceiver<FreshNews>,
+    /// Updates about requests that crash upstreams, for other hosts.
+    pub work_updates: UnboundedReceiver<PendingWorkUpdate>,
 }
 
-/// Runs until the host has ended.
+/// Runs until the host has stopped.
 pub(crate) async fn run(
     common: Common,
     peers: TcpListener,
@@ -99,7 +99,7 @@
         name: settings.host.clone(),
         zone: settings.zone.clone(),
         caller_address: settings.caller_address,
-        // Requests are not relayed between hosts that serve routes.
+        // Hosts that serve routes do not relay requests to each other.
         relay_address: settings.caller_address,
         peer_address: settings.peer_address,
         operator_address: settings.ready_address,
@@ -107,14 +107,14 @@
     let incarnation = rand::random();
     let may_have_lent = !common.settings.first_start;
     let control = Rc::new(Control {
-        beliefs: RefCell::new(Beliefs::new(&common)),
+        known_state: RefCell::new(KnownState::new(&common)),
         incarnation,
         pool: RefCell::new(TokenPool::new(incarnation, clock::now(), may_have_lent)),
         me,
         routes: RefCell::new(Follower::new(
             Feed::Routes,
             &common.settings,
-            Arc::clone(&common.heard),
+            Arc::clone(&common.document_age),
         )),
         upstreams: RefCell::new(Follower::new(
             Feed::Upstreams,
@@ -123,49 +123,49 @@
         )),
         hosts: RefCell::new(Follower::new(Feed::Hosts, &common.settings, Arc::default())),
         outage: Outage::default(),
-        list_asked: watch::Sender::default(),
+        hosts_requested: watch::Sender::default(),
         key: RefCell::default(),
         local: RefCell::default(),
         clients: RefCell::default(),
-        telling: Telling::default(),
-        silent_near: RefCell::default(),
+        update_sender: UpdateSender::default(),
+        unresponsive_zone_hosts: RefCell::default(),
         limit_tokens: RefCell::default(),
         limit_asks: RefCell::default(),
-        beats: Cell::default(),
+        heartbeats_sent: Cell::default(),
         records,
         common,
     });
-    spawn_local(Rc::clone(&control).look_at_times());
+    spawn_local(Rc::clone(&control).expire_periodically());
     spawn_local(Rc::clone(&control).serve_limits(incoming.limit_calls));
-    spawn_local(Rc::clone(&control).tell_works(incoming.work_news));
-    let hosts = spawn_local(Rc::clone(&control).begin(peers));
+    spawn_local(Rc::clone(&control).send_work_updates(incoming.work_updates));
+    let hosts = spawn_local(Rc::clone(&control).start(peers));
     let mut stage = control.common.stage.clone();
     let leaving = |stage: &Stage| *stage != Stage::Serving;
     if stage.wait_for(leaving).await.is_ok() {
         hosts.abort();
         control.leave().await;
     }
-    // What is believed still changes while the last requests are served. The sender
-    // ends with the host.
+    // The state is kept up to date while the last requests are served. The channel closes when the
+    // host has stopped.
     let _ = stage.wait_for(|stage| *stage == Stage::Ended).await;
 }
 
 impl Control {
-    /// Follows the feeds and meets other hosts, for ever.
-    async fn begin(self: Rc<Self>, peers: TcpListener) {
-        self.wait_for_turn().await;
+    /// Follows the feeds and exchanges messages with other hosts until the task is aborted.
+    async fn start(self: Rc<Self>, peers: TcpListener) {
+        self.delay_first_start().await;
         for feed in [Feed::Hosts, Feed::Routes, Feed::Upstreams] {
             spawn_local(Rc::clone(&self).follow(feed));
         }
-        self.keep_tokens();
-        let learning = Rc::clone(&self);
-        spawn_local(async move { learning.learn_works_at_start().await });
-        self.meet_hosts(peers).await;
+        self.maintain_tokens();
+        let loading = Rc::clone(&self);
+        spawn_local(async move { loading.load_refused_work().await });
+        self.run_membership(peers).await;
     }
 
-    /// Publishes what is believed now.
+    /// Publishes a view of the current state.
     fn publish(&self) {
-        let view = self.beliefs.borrow_mut().view(clock::now());
+        let view = self.known_state.borrow_mut().view(clock::now());
         let before = self.common.view.swap(view.into());
         let view = self.common.view.load();
         if before.version != view.version {
@@ -173,41 +173,41 @@
         }
     }
 
-    /// Publishes again where time alone has changed what is believed.
-    async fn look_at_times(self: Rc<Self>) {
+    /// Publishes a new view when entries expire.
+    async fn expire_periodically(self: Rc<Self>) {
         let mut suspensions = Suspensions::new(Instant::now(), clock::now());
         loop {
             if let Some(suspended) = suspensions.look(Instant::now(), clock::now()) {
                 self.resume(suspended);
             }
             let now = clock::now();
-            let next = self.beliefs.borrow().changes_at(now);
-            let next = next.map_or(LOOK_AT_TIMES_EVERY, |at| at - now);
-            sleep(next.min(LOOK_AT_TIMES_EVERY)).await;
-            let changed = self.beliefs.borrow_mut().expire(clock::now());
+            let next = self.known_state.borrow().next_change(now);
+            let next = next.map_or(MAX_EXPIRY_INTERVAL, |at| at - now);
+            sleep(next.min(MAX_EXPIRY_INTERVAL)).await;
+            let changed = self.known_state.borrow_mut().expire(clock::now());
             if changed {
                 self.publish();
             }
-            self.count_ages();
+            self.record_ages();
         }
     }
 
-    /// Goes on after the machine was suspended, as after a pause of this process: the timers
-    /// stood still, so what is too old by now is asked for at once.
+    /// Recovers after the machine was suspended, as after a pause of this process. Timers do not
+    /// run during a suspension, so feeds that may be stale are checked at once.
     fn resume(&self, suspended: Duration) {
         let ms = suspended.as_millis() as u64;
         tracing::warn!(event = "suspended", ms);
         metrics::counter!("stagedeck_suspensions_total").increment(1);
-        self.beliefs.borrow_mut().roll.resume(clock::now());
+        self.known_state.borrow_mut().roll.resume(clock::now());
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            self.follower(feed, |own| own.gap_tried.notify_one());
+            self.with_follower(feed, |follower| follower.gap_tried.notify_one());
         }
     }
 
-    fn count_ages(&self) {
+    fn record_ages(&self) {
         let now = clock::now();
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            if let Some(age) = self.follower(feed, |own| own.lead.age(now)) {
+            if let Some(age) = self.with_follower(feed, |follower| follower.lead.age(now)) {
                 metrics::gauge!("stagedeck_belief_age_seconds", "feed" => feed.to_string())
                     .set(age.as_secs_f64());
             }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,103 +1,105 @@
-//! Work under which upstreams end, as requests ask and hosts tell of it.
+//! Requests that crash upstreams, shared between the threads of a host.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use steering::route::{
-    Admission, ENDS_REFUSED, RefusedWork, Suspects, WorkDigest, WorkIdentity, WorkKey, WorkNews,
-    WorkState, WorkTold,
+    Admission, CRASHES_TO_REFUSE, RefusedWork, Suspects, WorkDigest, WorkEvent, WorkIdentity,
+    WorkKey, WorkState, WorkUpdate,
 };
 use tokio::sync::mpsc;
 
-/// Who has learned something, for the log, where it is this host itself.
+/// Source in the log of what this host has observed itself.
 const OWN: &str = "own";
 
-/// News for other hosts.
-pub(crate) struct FreshNews {
-    /// When this host learned them.
+/// An update for other hosts.
+pub(crate) struct PendingWorkUpdate {
+    /// When this host learned of the event.
     pub learned: Instant,
-    pub news: WorkNews,
-    /// Whether all hosts are to be told, not only those of the own group. A first end, and that
-    /// it was not the cause, is told to few: with hundreds of hosts an upstream that ends by itself
-    /// would cost each of them a message for each request that it had in flight.
+    pub update: WorkUpdate,
+    /// Whether all hosts are told, not only those of the own group. A first crash, and the finding
+    /// that the request did not cause it, go to the own group only: with hundreds of hosts, each
+    /// upstream that crashes for another reason would cost every host a message for each request in
+    /// flight there.
     pub for_all: bool,
 }
 
-/// What this host knows of such work. Others are told by the thread of control.
+/// Crash records of this host. The control thread sends updates to other hosts.
 pub(crate) struct SharedSuspects {
     suspects: Mutex<Suspects>,
-    news: mpsc::UnboundedSender<FreshNews>,
+    updates: mpsc::UnboundedSender<PendingWorkUpdate>,
 }
 
 impl SharedSuspects {
-    /// Nothing known, and the news that others are to be told.
-    pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<FreshNews>) {
-        let (news, fresh) = mpsc::unbounded_channel();
+    /// Creates empty records, and the receiver of updates for other hosts.
+    pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<PendingWorkUpdate>) {
+        let (updates, receiver) = mpsc::unbounded_channel();
         let suspects = Mutex::new(Suspects::new(me));
-        (SharedSuspects { suspects, news }, fresh)
+        (SharedSuspects { suspects, updates }, receiver)
     }
 
     fn suspects(&self) -> MutexGuard<'_, Suspects> {
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What may be done with a request that has come, and the ends known against it.
+    /// Decides whether to admit a request. Also returns the number of crashes attributed to the request.
     pub fn admit(&self, work: WorkIdentity) -> (Admission, u32) {
         let mut suspects = self.suspects();
         let admission = suspects.admit(clock::now(), work);
-        let ends = suspects.ends_of(work);
+        let crashes = suspects.crash_count_of(work);
         drop(suspects);
         count(match admission {
-            Admission::Free => return (admission, ends),
+            Admission::Unrestricted => return (admission, crashes),
             Admission::Refused(_) => "refused",
             Admission::Trial => "tried",
         });
         if admission == Admission::Trial {
             tracing::info!(
                 event = "work_tried",
-                work = name(work.request),
-                object = name(work.object)
+                work = format_key(work.request),
+                object = format_key(work.object)
             );
-            let told = WorkTold::Tried;
-            self.tell(WorkNews { work, told }, true);
+            let told = WorkEvent::TrialStarted;
+            self.send_update(WorkUpdate { work, event: told }, true);
         }
-        (admission, ends)
+        (admission, crashes)
     }
 
-    /// For how long a request that was let in with `ends` known may not be sent any more.
-    pub fn barred_for(&self, work: WorkIdentity, ends: u32) -> Option<Duration> {
-        self.suspects().barred_for(clock::now(), work, ends)
+    /// Remaining time for which a request must not be sent; none if it may be sent. `crashes` is the
+    /// number of crashes known when the request was admitted.
+    pub fn barred_for(&self, work: WorkIdentity, crashes: u32) -> Option<Duration> {
+        self.suspects().blocked_for(clock::now(), work, crashes)
     }
 
-    /// Whether a request may be sent once more after its upstream has ended.
-    pub fn may_be_repeated(&self, work: WorkIdentity) -> bool {
-        self.suspects().may_be_repeated(work)
+    /// Whether a request may be sent again after its upstream has crashed.
+    pub fn may_be_retried(&self, work: WorkIdentity) -> bool {
+        self.suspects().may_be_retried(work)
     }
 
-    /// Takes what a request of this host has shown.
-    pub fn learn(&self, work: WorkIdentity, told: WorkTold) {
-        let news = WorkNews { work, told };
-        if matches!(told, WorkTold::Ended { .. }) {
+    /// Records what a request of this host has shown.
+    pub fn record_event(&self, work: WorkIdentity, told: WorkEvent) {
+        let update = WorkUpdate { work, event: told };
+        if matches!(told, WorkEvent::Crashed { .. }) {
             count("ended");
         }
-        if let Some(ends) = self.take(&news, OWN) {
-            self.tell(news, ends >= ENDS_REFUSED);
+        if let Some(crashes) = self.apply(&update, OWN) {
+            self.send_update(update, crashes >= CRASHES_TO_REFUSE);
         }
     }
 
-    /// Takes what the host `from` has told.
-    pub fn hear(&self, news: &[WorkNews], from: &str) {
-        for news in news {
-            self.take(news, from);
+    /// Applies updates from the host `from`.
+    pub fn receive(&self, updates: &[WorkUpdate], from: &str) {
+        for update in updates {
+            self.apply(update, from);
         }
     }
 
-    /// Tells whether another host knows the same.
+    /// Digest of the records, to compare them with those of another host.
     pub fn digest(&self) -> WorkDigest {
         self.suspects().digest(clock::now())
     }
 
-    /// What another host may have missed; empty where it knows the same.
+    /// Records that another host with digest `known` may lack; empty if it has the same.
     pub fn missed(&self, known: WorkDigest) -> Vec<WorkState> {
         let now = clock::now();
         let suspects = self.suspects();
@@ -107,32 +109,32 @@
         }
     }
 
-    /// Takes what this host has missed, as the host `from` knows it.
+    /// Merges records that this host has missed and the host `from` provided.
     pub fn merge(&self, states: &[WorkState], from: &str) {
         let now = clock::now();
         let mut suspects = self.suspects();
-        suspects.compared(now);
+        suspects.note_synced(now);
         for state in states {
-            let before = suspects.ends(state.key);
+            let before = suspects.crash_count(state.key);
             suspects.merge(now, state);
-            note_change(state.key, before, suspects.ends(state.key), from);
+            log_change(state.key, before, suspects.crash_count(state.key), from);
         }
     }
 
-    /// Notes that there is no other host.
+    /// Records that there are no other hosts.
     pub fn note_alone(&self) {
         self.suspects().note_alone();
     }
 
-    /// Does what an operator wants of a request or an object, and tells all hosts; false where there is
-    /// nothing to be done.
-    pub fn order(&self, key: WorkKey, order: WorkTold) -> bool {
+    /// Applies an operator's order for a request or an object, and tells all hosts. Returns false
+    /// if the order changes nothing.
+    pub fn order(&self, key: WorkKey, order: WorkEvent) -> bool {
         let work = WorkIdentity::named(key);
-        let news = WorkNews { work, told: order };
-        tracing::info!(event = "work_ordered", work = name(key), ?order);
-        let is_new = self.take(&news, OWN).is_some();
+        let update = WorkUpdate { work, event: order };
+        tracing::info!(event = "work_ordered", work = format_key(key), ?order);
+        let is_new = self.apply(&update, OWN).is_some();
         if is_new {
-            self.tell(news, true);
+            self.send_update(update, true);
         }
         is_new
     }
@@ -142,40 +144,51 @@
         self.suspects().refused(clock::now())
     }
 
-    /// Ends in a row under the request or its object, now or before, where the news are new.
-    fn take(&self, news: &WorkNews, by: &str) -> Option<u32> {
+    /// Applies an update. If it is new, returns the larger number of consecutive crashes for the
+    /// request or its object, before or after.
+    fn apply(&self, update: &WorkUpdate, by: &str) -> Option<u32> {
         let mut suspects = self.suspects();
-        let before: Vec<(WorkKey, u32)> = news
+        let before: Vec<(WorkKey, u32)> = update
             .work
             .keys()
-            .map(|key| (key, suspects.ends(key)))
+            .map(|key| (key, suspects.crash_count(key)))
             .collect();
-        let is_new = suspects.take(clock::now(), news.work, news.told);
-        let mut most = 0;
+        let is_new = suspects.apply(clock::now(), update.work, update.event);
+        let mut max_crashes = 0;
         for (key, before) in before {
-            let ends = suspects.ends(key);
-            note_change(key, before, ends, by);
-            most = most.max(before).max(ends);
+            let crashes = suspects.crash_count(key);
+            log_change(key, before, crashes, by);
+            max_crashes = max_crashes.max(before).max(crashes);
         }
-        is_new.then_some(most)
+        is_new.then_some(max_crashes)
     }
 
-    fn tell(&self, news: WorkNews, for_all: bool) {
+    fn send_update(&self, update: WorkUpdate, for_all: bool) {
         let learned = clock::now();
-        // The thread of control ends with the host.
-        let _ = self.news.send(FreshNews {
+        // The control thread ends with the host.
+        let _ = self.updates.send(PendingWorkUpdate {
             learned,
-            news,
+            update,
             for_all,
         });
     }
 }
 
-fn note_change(key: WorkKey, before: u32, ends: u32, by: &str) {
-    if ends > before && ends >= ENDS_REFUSED {
-        tracing::warn!(event = "work_refused", work = name(key), ends, by);
-    } else if ends < before && before >= ENDS_REFUSED {
-        tracing::info!(event = "work_cleared", work = name(key), ends = before, by);
+fn log_change(key: WorkKey, before: u32, crashes: u32, by: &str) {
+    if crashes > before && crashes >= CRASHES_TO_REFUSE {
+        tracing::warn!(
+            event = "work_refused",
+            work = format_key(key),
+            ends = crashes,
+            by
+        );
+    } else if crashes < before && before >= CRASHES_TO_REFUSE {
+        tracing::info!(
+            event = "work_cleared",
+            work = format_key(key),
+            ends = before,
+            by
+        );
     }
 }
 
@@ -183,7 +196,7 @@
     metrics::counter!("stagedeck_work_steps_total", "step" => step).increment(1);
 }
 
-/// A request or an object, as the log tells it.
-pub(crate) fn name(work: WorkKey) -> String {
+/// Formats the key of a request or an object as in the log.
+pub(crate) fn format_key(work: WorkKey) -> String {
     format!("{work:016x}")
 }
--- /dev/null
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -0,0 +1,55 @@
+//! Checks whether an upstream has crashed while serving a request.
+
+use std::sync::Arc;
+use std::time::Instant;
+
+use steering::ids::RequestId;
+use steering::route::{Upstream, WorkEvent, WorkIdentity};
+
+use super::Traffic;
+use crate::suspects;
+
+/// Checks an upstream that has closed a request's connection. A closed connection alone is weak
+/// evidence, since an upstream loses an answer now and then.
+pub(super) struct CrashCheck {
+    pub traffic: Arc<Traffic>,
+    pub upstream: Arc<Upstream>,
+    /// Identity of the request.
+    pub id: RequestId,
+    pub work: WorkIdentity,
+    /// When the request was sent.
+    pub sent: Instant,
+}
+
+impl CrashCheck {
+    /// Runs the check, and records a crash.
+    pub async fn run(self) {
+        let closed = clock::now();
+        let report = &self.upstream.report;
+        if !self.traffic.connections.is_refused(report.address).await {
+            return;
+        }
+        tracing::info!(
+            event = "upstream_ended",
+            id = self.id,
+            upstream = report.id,
+            work = suspects::format_key(self.work.request),
+            object = suspects::format_key(self.work.object)
+        );
+        self.record_crash(self.work, self.sent, closed);
+        // Callers that have disconnected do not report the outcome of their requests.
+        let abandoned = self.upstream.state().abandoned.take(closed);
+        for (work, sent) in abandoned {
+            self.record_crash(work, sent, closed);
+        }
+    }
+
+    fn record_crash(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
+        let told = WorkEvent::Crashed {
+            start: self.upstream.report.start_hash(),
+            sent_ms: clock::elapsed(sent).as_millis() as u32,
+            crashed_ms: clock::elapsed(closed).as_millis() as u32,
+        };
+        self.traffic.common.suspects.record_event(work, told);
+    }
+}
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -1,51 +1,51 @@
-//! Which service and region a request goes to.
+//! Selects the service and region for a request.
 
 use steering::ids::{RegionName, ServiceName};
 use steering::route::{RegionPool, Route, Sender, ServicePool, object_hash, rank, unit_hash};
 
 use super::Traffic;
 
-/// Where a request goes.
+/// Service and region for a request.
 pub(super) struct Destination {
     pub service: ServiceName,
-    /// None where no region may serve it, or can.
+    /// None if no region may or can serve the request.
     pub region: Option<RegionName>,
-    /// Hash of its object, or any number.
+    /// Hash of the request's object, or a random number if it has none.
     pub object: u64,
     pub by_object: bool,
 }
 
 impl Destination {
-    /// The service by weight, the region by the object's place in the region's share. Counts
-    /// the request.
+    /// Selects the service by weight, and the region by the object's position within the region's
+    /// share. Counts the request.
     pub fn find(
         traffic: &Traffic,
         route: &Route,
         sender: &Sender,
         object: Option<&[u8]>,
     ) -> Destination {
-        let service = traffic.shares().part(route).clone();
+        let service = traffic.stats().pick_service(route).clone();
         let object = object.filter(|_| route.by_object);
         let by_object = object.is_some();
         let object = object.map_or_else(rand::random, |object| object_hash(&service, object));
         let bounds = traffic.common.bounds();
         let now = clock::now();
-        traffic.shares().request(&service, &bounds, now);
-        let may = |region: &str| may_run_in(route, sender, region);
+        traffic.stats().count_request(&service, &bounds, now);
+        let is_allowed = |region: &str| may_run_in(route, sender, region);
         Destination {
-            region: region(traffic, &service, object, &may),
+            region: select_region(traffic, &service, object, &is_allowed),
             service,
             object,
             by_object,
         }
     }
 
-    /// The object's hash; none where it has none.
+    /// Hash of the object; none if the request has none.
     pub fn own_object(&self) -> Option<u64> {
         self.by_object.then_some(self.object)
     }
 
-    /// The chosen region first, then the others that may serve.
+    /// Regions to try: the selected one first, then the others that may serve the request.
     pub fn regions_to_ask<'p>(
         &self,
         pool: &'p ServicePool,
@@ -60,35 +60,35 @@
     }
 }
 
-/// Whether the homes of a request's route and of its customer both allow a region.
+/// Whether the route and the customer both allow a region.
 fn may_run_in(route: &Route, sender: &Sender, region: &str) -> bool {
     route.may_run_in(region) && sender.may_run_in(region)
 }
 
-/// The region that serves a request; none where no region may or can.
-fn region(
+/// Selects the region for a request; none if no region may or can serve it.
+fn select_region(
     traffic: &Traffic,
     service: &ServiceName,
     object: u64,
-    may: &dyn Fn(&str) -> bool,
+    is_allowed: &dyn Fn(&str) -> bool,
 ) -> Option<RegionName> {
     let view = traffic.common.view.load();
     let pool = view.services.get(service)?;
     let own = &traffic.common.settings.region;
-    let has = |region: &RegionName| pool.regions.contains_key(region) && may(region);
+    let can_serve = |region: &RegionName| pool.regions.contains_key(region) && is_allowed(region);
     let place = unit_hash(object);
     let now = clock::now();
-    if has(own) && traffic.shares().stays(service, pool, place, now) {
+    if can_serve(own) && traffic.stats().stays_in_region(service, pool, place, now) {
         return Some(own.clone());
     }
     let others = pool.regions.iter();
-    let others = others.filter(|(region, _)| *region != own && may(region));
-    let far = far_region(object, others);
-    far.or_else(|| has(own).then(|| own.clone()))
+    let others = others.filter(|(region, _)| *region != own && is_allowed(region));
+    let other = other_region(object, others);
+    other.or_else(|| can_serve(own).then(|| own.clone()))
 }
 
-/// The region besides the own that an object goes to, by the regions' slots.
-fn far_region<'a>(
+/// Selects a region other than the own for an object, weighted by the regions' slots.
+fn other_region<'a>(
     object: u64,
     regions: impl Iterator<Item = (&'a RegionName, &'a RegionPool)>,
 ) -> Option<RegionName> {
--- a/crates/gateway/src/traffic/operator.rs
+++ b/crates/gateway/src/traffic/operator.rs
@@ -1,4 +1,5 @@
-//! What operators ask at the address for metrics: the metrics, and work that is refused.
+//! Endpoint for operators at the metrics address: metrics, and requests refused because they crash
+//! upstreams.
 
 use std::sync::Arc;
 
@@ -6,17 +7,17 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use serde_json::json;
-use steering::route::{WorkKey, WorkTold};
+use steering::route::{WorkEvent, WorkKey};
 use upstream::{Body, full};
 
 use super::Traffic;
 use super::answers::status;
 use crate::suspects;
 
-/// Path of the list of requests and objects that are refused; the key of one may follow.
+/// Path of the list of refused requests and objects. The key of an entry may follow.
 const WORKS_PATH: &str = "/works";
 
-/// Answers an operator. Only who asks from the host itself may change anything.
+/// Answers an operator. Only clients on this host may make changes.
 pub(super) fn answer(
     traffic: &Arc<Traffic>,
     request: &Request<Incoming>,
@@ -27,14 +28,14 @@
     };
     let order = match *request.method() {
         Method::GET if rest.is_empty() => return list(traffic),
-        Method::PUT => WorkTold::Refused,
-        Method::DELETE => WorkTold::Cleared,
+        Method::PUT => WorkEvent::Refused,
+        Method::DELETE => WorkEvent::Cleared,
         _ => return status(StatusCode::METHOD_NOT_ALLOWED),
     };
     if !is_own {
         return status(StatusCode::FORBIDDEN);
     }
-    let Some(work) = rest.strip_prefix('/').and_then(key) else {
+    let Some(work) = rest.strip_prefix('/').and_then(parse_key) else {
         return status(StatusCode::BAD_REQUEST);
     };
     status(match traffic.common.suspects.order(work, order) {
@@ -43,8 +44,8 @@
     })
 }
 
-/// A key as the log tells it.
-fn key(text: &str) -> Option<WorkKey> {
+/// Parses a key in the format of the log.
+fn parse_key(text: &str) -> Option<WorkKey> {
     let is_key = text.len() == 16;
     is_key.then(|| WorkKey::from_str_radix(text, 16).ok())?
 }
@@ -53,8 +54,8 @@
     let refused = traffic.common.suspects.refused();
     let refused = refused.iter().map(|refused| {
         json!({
-            "work": suspects::name(refused.work),
-            "ends": refused.ends,
+            "work": suspects::format_key(refused.work),
+            "ends": refused.crashes,
             "refused_for_ms": refused.refused_for.as_millis() as u64,
         })
     });
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -1,4 +1,5 @@
-//! A request's run: part, region, upstream, and what follows a miss.
+//! Handles one request: selects a service, region and upstream, sends the request, and decides on
+//! retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,71 +9,73 @@
 use steering::ids::ServiceName;
 use steering::route::{
     Admission, CallerAttempt, Choice, Requirements, RetryDecision, Route, SendOutcome, Sender,
-    Unavailable, UnavailableCause, UpstreamId, WorkIdentity, WorkTold, choose, decide_retry,
+    Unavailable, UnavailableCause, UpstreamId, WorkEvent, WorkIdentity, choose, decide_retry,
 };
 use tokio::task::spawn_local;
 use upstream::{Body, WorkBody};
 
 use super::Traffic;
 use super::answers::{Cause, Refusal};
+use super::crash_check::CrashCheck;
 use super::destination::Destination;
-use super::forward::NO_DOCUMENT_WAIT;
+use super::forward::DEFAULT_RETRY_AFTER;
 use super::head::Head;
-use super::look::Look;
-use super::send::{Sending, send};
-use super::shares::Shares;
-use super::trail::Trail;
-use crate::limits::Dry;
+use super::request_log::RequestLog;
+use super::send::{OutgoingRequest, send};
+use super::stats::TrafficStats;
+use crate::limits::NoToken;
 
-/// Time left below which nothing is sent: no answer could come back.
-const TIME_LEAST: Duration = Duration::from_millis(5);
-/// Usual time of a service that has not answered yet, as a share of the goal.
-const USUAL_AT_FIRST: f64 = 0.5;
-/// Share of a wait at a full upstream that the least urgent requests accept.
-const URGENCY_LEAST: f64 = 0.6;
-/// Share that each rank of urgency costs.
+/// Remaining time below which nothing is sent, since no answer could arrive in time.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
+/// Assumed response time of a service that has not answered yet, as a fraction of the latency goal.
+const INITIAL_LATENCY_FRACTION: f64 = 0.5;
+/// Fraction of the wait at a full upstream that the least urgent requests accept.
+const MIN_URGENCY: f64 = 0.6;
+/// Decrease of this fraction for each level of priority.
 const URGENCY_STEP: f64 = 0.2;
-/// Upstreams without a token of their limits that a request asks for one. Where many name
-/// limits, the first would be asked again and again until the deadline.
-const TURNED_AWAY_MOST: u32 = 4;
+/// Most upstreams without a token of their rate limit that a request tries. Without this bound, a
+/// request would try them again and again until its deadline if many upstreams declare limits.
+const MAX_TOKEN_REFUSALS: u32 = 4;
 
-/// A request on its way.
+/// A request in progress.
 pub(super) struct Run<'a> {
     pub traffic: &'a Arc<Traffic>,
     pub head: &'a Head,
-    pub trail: &'a mut Trail,
+    pub request_log: &'a mut RequestLog,
     pub route: &'a Route,
-    /// Who sends it.
+    /// Who sent the request.
     pub sender: &'a Sender,
     pub parts: Parts,
     pub body: WorkBody,
-    /// When it must be answered, whatever with.
+    /// Time by which the request must be answered, even with an error.
     pub deadline: Instant,
-    /// Whether its caller came before.
-    pub which_try: CallerAttempt,
-    /// How far each send got.
+    /// Whether the caller has sent this request before.
+    pub caller_attempt: CallerAttempt,
+    /// Progress of each send.
     pub sends: Vec<SendOutcome>,
-    /// Upstreams that are not asked again: they were full, or could not be reached.
-    pub tried: Vec<UpstreamId>,
-    /// What it is known by where it comes again.
+    /// Upstreams that are not tried again, because they refused the request or could not be
+    /// reached.
+    pub excluded: Vec<UpstreamId>,
+    /// Identity of the request and its object for crash detection; the same when the request is
+    /// repeated.
     pub work: WorkIdentity,
-    /// Ends known against it when it was let in.
-    pub ends_known: u32,
-    /// Upstreams that were chosen and had no token of their limits.
-    pub turned_away: u32,
+    /// Crashes attributed to the request when it was admitted.
+    pub crashes_known: u32,
+    /// Number of selected upstreams that had no token of their rate limit.
+    pub token_refusals: u32,
 }
 
-/// No upstream could be chosen.
-pub(super) struct Unchosen {
-    /// What is answered.
+/// No upstream could be selected.
+pub(super) struct SelectionError {
+    /// The refusal to answer with.
     pub refusal: Refusal,
-    /// Upstreams that were passed over for what they have said of themselves.
+    /// Upstreams skipped because of what they declared about themselves.
     pub passed_over: Vec<UpstreamId>,
 }
 
-impl From<Refusal> for Unchosen {
+impl From<Refusal> for SelectionError {
     fn from(refusal: Refusal) -> Self {
-        Unchosen {
+        SelectionError {
             refusal,
             passed_over: Vec::new(),
         }
@@ -80,70 +83,70 @@
 }
 
 impl Run<'_> {
-    /// Sends it until it is answered or given up.
+    /// Sends the request, with retries, until it is answered or fails.
     pub async fn run(&mut self) -> Result<Response<Body>, Refusal> {
-        let (admission, ends_known) = self.traffic.common.suspects.admit(self.work);
-        self.ends_known = ends_known;
-        if admission != Admission::Free {
-            self.trail.work = Some(self.work.request);
+        let (admission, crashes_known) = self.traffic.common.suspects.admit(self.work);
+        self.crashes_known = crashes_known;
+        if admission != Admission::Unrestricted {
+            self.request_log.work = Some(self.work.request);
         }
         if let Admission::Refused(time) = admission {
             return Err(Refusal::NotRun {
-                cause: Cause::EndsUpstreams,
-                come_back: time,
+                cause: Cause::CrashesUpstreams,
+                retry_after: time,
             });
         }
         let object = self.head.object.as_deref();
         let destination = Destination::find(self.traffic, self.route, self.sender, object);
-        self.trail.service.clone_from(&destination.service);
-        self.trail.region = destination.region.clone().unwrap_or_default();
-        self.trail.object = destination.own_object();
+        self.request_log.service.clone_from(&destination.service);
+        self.request_log.region = destination.region.clone().unwrap_or_default();
+        self.request_log.object = destination.own_object();
         loop {
-            let choice = self.choose(&destination).map_err(|unchosen| {
-                self.trail.unchosen(&unchosen);
-                unchosen.refusal
+            let choice = self.select_upstream(&destination).map_err(|error| {
+                self.request_log.not_selected(&error);
+                error.refusal
             })?;
             let choice = match self.take_token(choice).await {
                 Ok(choice) => choice,
-                // It is passed over from now on, until there is a token again.
-                Err(_) if self.turned_away < TURNED_AWAY_MOST => continue,
-                Err(Dry(wait)) => return Err(self.limited(wait)),
+                // The upstream is skipped until a token is available again.
+                Err(_) if self.token_refusals < MAX_TOKEN_REFUSALS => continue,
+                Err(NoToken(wait)) => return Err(self.rate_limited(wait)),
             };
             choice.note_sent(clock::now(), destination.own_object());
             if let Some(answer) = self.send(&choice).await {
                 return Ok(answer);
             }
-            if self.after_miss(&destination.service) != RetryDecision::Retry {
-                return Err(self.given_up());
+            if self.after_failure(&destination.service) != RetryDecision::Retry {
+                return Err(self.final_refusal());
             }
         }
     }
 
-    /// Takes a token of the limit that the chosen upstream names, where it names one: any send
-    /// counts, whichever way it was chosen.
-    async fn take_token(&mut self, choice: Choice) -> Result<Choice, Dry> {
-        let Some(heard) = choice.limit(clock::now()) else {
+    /// Takes a token of the rate limit that the selected upstream declares, if any. Every send
+    /// counts against the limit, however the upstream was selected.
+    async fn take_token(&mut self, choice: Choice) -> Result<Choice, NoToken> {
+        let Some(declared) = choice.limit(clock::now()) else {
             return Ok(choice);
         };
-        let begun = clock::now();
+        let started_at = clock::now();
         let limits = &self.traffic.common.limits;
-        let token = limits.token(&choice, heard, self.urgency()).await;
-        let waited = self.trail.limit_ms.unwrap_or(0);
-        self.trail.limit_ms = Some(waited + clock::elapsed(begun).as_millis() as u64);
-        self.turned_away += u32::from(token.is_err());
+        let token = limits.take_token(&choice, declared, self.urgency()).await;
+        let waited = self.request_log.limit_ms.unwrap_or(0);
+        self.request_log.limit_ms = Some(waited + clock::elapsed(started_at).as_millis() as u64);
+        self.token_refusals += u32::from(token.is_err());
         token.map(|()| Choice {
             has_token: true,
             ..choice
         })
     }
 
-    /// Sends it once; none where no answer came that may be passed on.
+    /// Sends the request once; none if there is no answer to pass on.
     async fn send(&mut self, choice: &Choice) -> Option<Response<Body>> {
         let report = &choice.upstream.report;
-        self.trail.chose(choice);
+        self.request_log.selected(choice);
         self.sends.push(SendOutcome::Not);
-        let sent = self.sends.last_mut().expect("it was just pushed");
-        let mut sending = Sending {
+        let sent = self.sends.last_mut().expect("an element was just pushed");
+        let mut outgoing = OutgoingRequest {
             head: self.head,
             parts: &self.parts,
             body: &mut self.body,
@@ -152,60 +155,64 @@
             route: &self.route.name,
             sender: self.sender,
             work: self.work,
-            ends_known: self.ends_known,
+            crashes_known: self.crashes_known,
         };
-        let begun = clock::now();
-        let missed = match send(self.traffic, choice, &mut sending, sent).await {
+        let started_at = clock::now();
+        let failure = match send(self.traffic, choice, &mut outgoing, sent).await {
             Ok(answer) => {
-                let sent_ms = clock::elapsed(begun).as_millis() as u32;
-                let told = WorkTold::Answered { sent_ms };
-                self.traffic.common.suspects.learn(self.work, told);
+                let sent_ms = clock::elapsed(started_at).as_millis() as u32;
+                let told = WorkEvent::Answered { sent_ms };
+                self.traffic.common.suspects.record_event(self.work, told);
                 return Some(answer);
             }
-            Err(missed) => missed,
+            Err(failure) => failure,
         };
         tracing::warn!(
             event = "send_missed",
             id = self.head.id,
             upstream = report.id,
             address = %report.address,
-            sent = ?missed.sent,
-            reason = missed.reason
+            sent = ?failure.sent,
+            reason = failure.reason
         );
-        *sent = missed.sent;
-        if missed.was_closed {
-            let look = Look {
+        *sent = failure.sent;
+        if failure.was_closed {
+            let check = CrashCheck {
                 traffic: Arc::clone(self.traffic),
                 upstream: Arc::clone(&choice.upstream),
                 id: self.head.id.clone(),
                 work: self.work,
-                sent: begun,
+                sent: started_at,
             };
-            // It goes on where the caller leaves, or the request's time is over.
-            let _ = spawn_local(look.run()).await;
+            // The check continues in its own task if the caller disconnects or the request times
+            // out.
+            let _ = spawn_local(check.run()).await;
         }
-        let is_lost = missed.sent == SendOutcome::Not && !missed.lacks_token;
-        let may_be_asked = || choice.upstream.allows_retry(clock::now());
-        if is_lost || (missed.sent != SendOutcome::Not && !may_be_asked()) {
-            self.tried.push(report.id.clone());
+        let is_unreachable = failure.sent == SendOutcome::Not && !failure.lacks_token;
+        let may_be_asked_again = || choice.upstream.allows_retry(clock::now());
+        if is_unreachable || (failure.sent != SendOutcome::Not && !may_be_asked_again()) {
+            self.excluded.push(report.id.clone());
         }
         None
     }
 
-    fn choose(&self, destination: &Destination) -> Result<Choice, Unchosen> {
+    fn select_upstream(&self, destination: &Destination) -> Result<Choice, SelectionError> {
         let service = &destination.service;
         let now = clock::now();
         if self.is_late(now) {
             return Err(self.out_of_time().into());
         }
         let view = self.traffic.common.view.load_full();
-        let nowhere = Unavailable::unreachable(NO_DOCUMENT_WAIT);
+        let unreachable = Unavailable::unreachable(DEFAULT_RETRY_AFTER);
         let Some(pool) = view.services.get(service) else {
-            return Err(self.unchosen(nowhere));
+            return Err(self.selection_error(unreachable));
         };
-        let (usual, estimate) = {
-            let mut shares = self.traffic.shares();
-            (shares.usual(service), shares.estimate(service, self.route))
+        let (average_latency, estimate) = {
+            let mut stats = self.traffic.stats();
+            (
+                stats.average_latency(service),
+                stats.estimate(service, self.route),
+            )
         };
         let settings = &self.traffic.common.settings;
         let bounds = self.traffic.common.bounds();
@@ -214,16 +221,19 @@
             by_object: destination.by_object,
             latency_goal: self.route.goal,
             urgency: self.urgency(),
-            excluded: &self.tried,
-            typical_work: usual.unwrap_or(self.route.goal.mul_f64(USUAL_AT_FIRST)),
+            excluded: &self.excluded,
+            typical_work: average_latency
+                .unwrap_or(self.route.goal.mul_f64(INITIAL_LATENCY_FRACTION)),
             estimate: &estimate,
             elapsed: now.saturating_duration_since(self.head.arrived),
             terms: pool.terms.as_ref(),
-            cold_limit_per_s: &|bears| Shares::cold_bound(&bounds, bears),
+            cold_limit_per_s: &|capacity_per_s| {
+                TrafficStats::cold_send_rate(&bounds, capacity_per_s)
+            },
             this_host: &settings.host,
             region_hosts: None,
         };
-        let mut no_room = nowhere;
+        let mut no_room = unreachable;
         for (region, pool) in destination.regions_to_ask(pool, self.route, self.sender) {
             let near = *region == settings.region;
             wish.region_hosts = view.region_hosts.as_deref().filter(|_| near);
@@ -231,15 +241,17 @@
                 Ok(choice) => return Ok(choice),
                 Err(refused) => no_room = refused,
             }
-            // A full region is not left at once: shares between regions move slowly.
+            // A request does not leave a region that is merely full: the shares between regions are
+            // shifted gradually.
             if no_room.is_reachable() {
                 break;
             }
         }
-        Err(self.unchosen(no_room))
+        Err(self.selection_error(no_room))
     }
 
-    /// More urgent requests accept longer waits, so that they are refused last.
+    /// Fraction of the possible wait that the request accepts. More urgent requests accept longer
+    /// waits, so they are refused last.
     fn urgency(&self) -> f64 {
         let of_customer = self
             .sender
@@ -247,39 +259,39 @@
             .and_then(|customer| customer.priority);
         let priority = of_customer.unwrap_or(self.route.priority);
         let rank = f64::from(priority.saturating_sub(1));
-        (1.0 - URGENCY_STEP * rank).max(URGENCY_LEAST)
+        (1.0 - URGENCY_STEP * rank).max(MIN_URGENCY)
     }
 
-    fn after_miss(&self, service: &ServiceName) -> RetryDecision {
-        let reached = self.sends.iter().filter(|sent| **sent != SendOutcome::Not);
-        let reached = reached.count() as u32;
+    fn after_failure(&self, service: &ServiceName) -> RetryDecision {
+        let sent_count = self.sends.iter().filter(|sent| **sent != SendOutcome::Not);
+        let sent_count = sent_count.count() as u32;
         let may_have_run = self.sends.contains(&SendOutcome::Perhaps);
-        let pointless = may_have_run && !self.route.repeatable;
+        let is_unsafe = may_have_run && !self.route.repeatable;
         let suspects = &self.traffic.common.suspects;
-        let may_send_again = !pointless
-            && reached < self.route.attempts
-            && suspects.may_be_repeated(self.work)
-            && (reached == 0 || self.take_repeat(service));
+        let may_send_again = !is_unsafe
+            && sent_count < self.route.attempts
+            && suspects.may_be_retried(self.work)
+            && (sent_count == 0 || self.take_retry(service));
         decide_retry(&self.sends, self.route.repeatable, may_send_again)
     }
 
-    fn take_repeat(&self, service: &ServiceName) -> bool {
+    fn take_retry(&self, service: &ServiceName) -> bool {
         let sharers = self.traffic.common.view.load().sharing_hosts;
         let now = clock::now();
         let bounds = self.traffic.common.bounds();
-        let mut shares = self.traffic.shares();
-        let allowed = shares.repeat(service, &bounds, sharers, self.which_try, now);
-        drop(shares);
+        let mut stats = self.traffic.stats();
+        let allowed = stats.take_retry(service, &bounds, sharers, self.caller_attempt, now);
+        drop(stats);
         metrics::counter!("stagedeck_repeats_total", "allowed" => allowed.to_string()).increment(1);
         allowed
     }
 
     fn is_late(&self, now: Instant) -> bool {
-        self.deadline.saturating_duration_since(now) < TIME_LEAST
+        self.deadline.saturating_duration_since(now) < MIN_TIME_LEFT
     }
 
-    /// What is answered where it may be sent to no other upstream.
-    fn given_up(&self) -> Refusal {
+    /// The refusal of a request that can't be sent to another upstream.
+    fn final_refusal(&self) -> Refusal {
         if self.is_late(clock::now()) {
             return self.out_of_time();
         }
@@ -289,59 +301,60 @@
         }
     }
 
-    /// What is answered where nothing has run: the upstreams refused it, or its work is refused
-    /// since it was let in.
+    /// The refusal of a request that has not run: the upstreams refused it, or it has been refused
+    /// because of crashes since it was admitted.
     fn not_sent(&self) -> Refusal {
         let suspects = &self.traffic.common.suspects;
-        match suspects.barred_for(self.work, self.ends_known) {
-            Some(come_back) => Refusal::NotRun {
-                cause: Cause::EndsUpstreams,
-                come_back,
+        match suspects.barred_for(self.work, self.crashes_known) {
+            Some(retry_after) => Refusal::NotRun {
+                cause: Cause::CrashesUpstreams,
+                retry_after,
             },
             None => Refusal::NotRun {
                 cause: Cause::RefusedThere,
-                come_back: NO_DOCUMENT_WAIT,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
         }
     }
 
-    fn unchosen(&self, no_room: Unavailable) -> Unchosen {
-        Unchosen {
-            refusal: self.given_up_with(not_run(&no_room)),
+    fn selection_error(&self, no_room: Unavailable) -> SelectionError {
+        SelectionError {
+            refusal: self.unless_run(not_run(&no_room)),
             passed_over: no_room.passed_over,
         }
     }
 
-    /// What is answered where several upstreams had no token, the last one for so long.
-    fn limited(&self, come_back: Duration) -> Refusal {
-        self.given_up_with(Refusal::NotRun {
+    /// The refusal after several upstreams had no token of their rate limit; `come_back` is from
+    /// the last one.
+    fn rate_limited(&self, retry_after: Duration) -> Refusal {
+        self.unless_run(Refusal::NotRun {
             cause: Cause::UpstreamsLimit,
-            come_back,
+            retry_after,
         })
     }
 
-    /// `not_run` where that is true.
-    fn given_up_with(&self, not_run: Refusal) -> Refusal {
-        match self.given_up() {
+    /// Returns `not_run` if the request can't have run, otherwise the refusal that says so.
+    fn unless_run(&self, not_run: Refusal) -> Refusal {
+        match self.final_refusal() {
             Refusal::NotRun { .. } => not_run,
             refusal => refusal,
         }
     }
 
-    /// What is answered when its time is over.
+    /// The refusal of a request whose time is over.
     pub fn out_of_time(&self) -> Refusal {
         match decide_retry(&self.sends, self.route.repeatable, false) {
             RetryDecision::NotRun => Refusal::NotRun {
                 cause: Cause::NoTime,
-                come_back: NO_DOCUMENT_WAIT,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
             _ => Refusal::TooLate,
         }
     }
 }
 
-/// The refusal of a request that has not run. Callers that are refused together are told
-/// times apart.
+/// The refusal of a request that has not run. The retry time is randomized so that callers refused
+/// together do not return together.
 fn not_run(no_room: &Unavailable) -> Refusal {
     Refusal::NotRun {
         cause: match no_room.cause {
@@ -350,6 +363,6 @@
             UnavailableCause::RateLimited => Cause::UpstreamsLimit,
             UnavailableCause::Full => Cause::NoRoom,
         },
-        come_back: no_room.retry_after + no_room.retry_spread.mul_f64(rand::random()),
+        retry_after: no_room.retry_after + no_room.retry_spread.mul_f64(rand::random()),
     }
 }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream.
+//! Sends a request to an upstream once.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -14,84 +14,84 @@
 
 use super::Traffic;
 use super::head::Head;
-use super::hear::{Said, hear};
+use super::statements::{AnswerHead, apply_statement};
 
-/// Connections to an upstream where its service names no bound.
-const CONNECTIONS_DEFAULT: u32 = 256;
+/// Most connections to an upstream whose service declares no limit.
+const DEFAULT_CONNECTIONS: u32 = 256;
 
-/// A request in flight at an upstream; ends when dropped.
-struct Flight {
+/// A request in flight at an upstream. Its drop records the end of the request.
+struct InFlight {
     upstream: Arc<Upstream>,
-    begun: Instant,
-    judged: Cell<bool>,
+    started_at: Instant,
+    is_recorded: Cell<bool>,
     work: WorkIdentity,
-    /// Whether anything of it may have left this host.
+    /// Whether any part of the request may have left this host.
     is_sent: Cell<bool>,
 }
 
-impl Flight {
+impl InFlight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
-        let begun = clock::now();
+        let started_at = clock::now();
         let mut condition = choice.upstream.state();
-        condition.request_sent(begun);
+        condition.request_sent(started_at);
         condition.note_expected_work(choice.expectation.work.if_fetched);
         drop(condition);
-        Flight {
+        InFlight {
             upstream: Arc::clone(&choice.upstream),
-            begun,
-            judged: Cell::new(false),
+            started_at,
+            is_recorded: Cell::new(false),
             work,
             is_sent: Cell::new(false),
         }
     }
 
-    fn judge(&self, answered: AnswerOutcome) {
+    fn record(&self, answered: AnswerOutcome) {
         let now = clock::now();
         let id = &self.upstream.report.id;
         let mut condition = self.upstream.state();
         condition.answered(now, answered);
-        if answered.shows_life() && condition.statements.answered(self.begun) {
+        if answered.shows_life() && condition.statements.answered(self.started_at) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
         drop(condition);
         self.upstream.zone().answered(now, id, answered);
-        self.judged.set(true);
+        self.is_recorded.set(true);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        let is_abandoned = !self.judged.get() && self.is_sent.get();
-        if !self.judged.get() {
-            self.judge(AnswerOutcome::Unknown);
+        let is_abandoned = !self.is_recorded.get() && self.is_sent.get();
+        if !self.is_recorded.get() {
+            self.record(AnswerOutcome::Unknown);
         }
         let now = clock::now();
         let mut condition = self.upstream.state();
         if is_abandoned {
-            condition.abandoned.note(now, self.work, self.begun);
+            condition.abandoned.note(now, self.work, self.started_at);
         }
-        condition.statements.unanswered(self.begun);
+        condition.statements.unanswered(self.started_at);
         condition.request_ended(now);
     }
 }
 
-/// A send that brought no answer to pass on.
+/// A send that did not yield an answer to pass on.
 #[derive(Debug)]
-pub(super) struct Missed {
-    /// How far it got.
+pub(super) struct SendFailure {
+    /// How far the request got.
     pub sent: SendOutcome,
-    /// Why, for the log.
+    /// Reason for the log.
     pub reason: String,
-    /// Whether it was sent nowhere because its upstream has named a limit since it was chosen:
-    /// it may go there with a token.
+    /// Whether nothing was sent because the upstream has declared a rate limit since it was
+    /// selected. The request may be sent there with a token.
     pub lacks_token: bool,
-    /// Whether its connection was closed, or broken, before an answer came.
+    /// Whether the connection was closed or broken before an answer arrived.
     pub was_closed: bool,
 }
 
-impl Missed {
+impl SendFailure {
     fn new(sent: SendOutcome, reason: impl ToString) -> Self {
-        Missed {
+        SendFailure {
             sent,
             reason: reason.to_string(),
             lacks_token: false,
@@ -100,99 +100,102 @@
     }
 }
 
-/// What is sent.
-pub(super) struct Sending<'a> {
+/// The request to send.
+pub(super) struct OutgoingRequest<'a> {
     pub head: &'a Head,
     pub parts: &'a Parts,
     pub body: &'a mut WorkBody,
     pub repeatable: bool,
-    /// When an answer is of no use any more.
+    /// Time after which an answer is useless.
     pub deadline: Instant,
-    /// Name of its route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Who sends it.
+    /// Who sent the request.
     pub sender: &'a Sender,
-    /// What it is known by where it comes again.
+    /// Identity of the request and its object for crash detection.
     pub work: WorkIdentity,
-    /// Ends known against it when it was let in.
-    pub ends_known: u32,
+    /// Crashes attributed to the request when it was admitted.
+    pub crashes_known: u32,
 }
 
-/// Sends a request once, and passes the answer on if it is one. `sent` is told as soon
-/// as anything of the request may have left this host.
+/// Sends a request once and returns the answer if it can be passed on. `sent` is set as soon as any
+/// part of the request may have left this host.
 pub(super) async fn send(
     traffic: &Arc<Traffic>,
     choice: &Choice,
-    sending: &mut Sending<'_>,
+    outgoing: &mut OutgoingRequest<'_>,
     sent: &mut SendOutcome,
-) -> Result<Response<Body>, Missed> {
-    let reuse = match sending.repeatable {
+) -> Result<Response<Body>, SendFailure> {
+    let reuse = match outgoing.repeatable {
         true => Reuse::Any,
         false => Reuse::Recent,
     };
     let upstream = &choice.upstream;
-    let flight = Flight::begin(choice, sending.work);
-    let connections = choice.connections.unwrap_or(CONNECTIONS_DEFAULT);
+    let in_flight = InFlight::begin(choice, outgoing.work);
+    let connections = choice.connections.unwrap_or(DEFAULT_CONNECTIONS);
     let address = upstream.report.address;
     let connected = traffic
         .connections
-        .connect(address, connections, reuse, sending.deadline);
+        .connect(address, connections, reuse, outgoing.deadline);
     let lease = match connected.await {
         Ok(lease) => lease,
         Err(reason) => {
             count_send("not_sent");
-            flight.judge(AnswerOutcome::Unreachable);
-            return Err(Missed::new(SendOutcome::Not, reason));
+            in_flight.record(AnswerOutcome::Unreachable);
+            return Err(SendFailure::new(SendOutcome::Not, reason));
         }
     };
     if let Some(obstacle) = choice.new_obstacle(clock::now()) {
         count_send("not_sent");
         lease.give_back();
-        return Err(Missed {
-            lacks_token: matches!(obstacle, Obstacle::Limits(_)),
-            ..Missed::new(SendOutcome::Not, obstacle)
+        return Err(SendFailure {
+            lacks_token: matches!(obstacle, Obstacle::LimitExhausted(_)),
+            ..SendFailure::new(SendOutcome::Not, obstacle)
         });
     }
     let suspects = &traffic.common.suspects;
-    let barred_for = suspects.barred_for(sending.work, sending.ends_known);
+    let barred_for = suspects.barred_for(outgoing.work, outgoing.crashes_known);
     if barred_for.is_some() {
         count_send("not_sent");
         lease.give_back();
-        return Err(Missed::new(SendOutcome::Not, "its work is refused since"));
+        return Err(SendFailure::new(
+            SendOutcome::Not,
+            "refused because of crashes since it was admitted",
+        ));
     }
-    let Some(request) = request(traffic, upstream, sending) else {
-        return Err(Missed::new(
+    let Some(request) = build_request(traffic, upstream, outgoing) else {
+        return Err(SendFailure::new(
             SendOutcome::Perhaps,
             "the body can't be sent again",
         ));
     };
     *sent = SendOutcome::Perhaps;
-    flight.is_sent.set(true);
-    match lease.send(request, sending.deadline).await {
+    in_flight.is_sent.set(true);
+    match lease.send(request, outgoing.deadline).await {
         Ok(answer) => {
             count_send("answered");
-            take(traffic, choice, answer, sending, flight)
+            accept_answer(traffic, choice, answer, outgoing, in_flight)
         }
         Err(SendError::NotSent { reason, request }) => {
             count_send("not_sent");
-            flight.judge(AnswerOutcome::Unreachable);
+            in_flight.record(AnswerOutcome::Unreachable);
             if let Some(request) = request {
-                sending.body.put_back(request.into_body());
+                outgoing.body.put_back(request.into_body());
             }
-            Err(Missed::new(SendOutcome::Not, reason))
+            Err(SendFailure::new(SendOutcome::Not, reason))
         }
         Err(SendError::Lost { reason }) => {
             count_send("lost");
-            flight.judge(AnswerOutcome::Broken);
-            Err(Missed {
+            in_flight.record(AnswerOutcome::Broken);
+            Err(SendFailure {
                 was_closed: true,
-                ..Missed::new(SendOutcome::Perhaps, reason)
+                ..SendFailure::new(SendOutcome::Perhaps, reason)
             })
         }
         Err(SendError::Late) => {
             count_send("late");
-            choice.note_timeout(clock::now(), clock::elapsed(flight.begun));
-            Err(Missed::new(SendOutcome::Perhaps, "late"))
+            choice.note_timeout(clock::now(), clock::elapsed(in_flight.started_at));
+            Err(SendFailure::new(SendOutcome::Perhaps, "late"))
         }
     }
 }
@@ -201,29 +204,29 @@
     metrics::counter!("stagedeck_sends_total", "outcome" => outcome).increment(1);
 }
 
-fn request(
+fn build_request(
     traffic: &Traffic,
     upstream: &Upstream,
-    sending: &mut Sending<'_>,
+    outgoing: &mut OutgoingRequest<'_>,
 ) -> Option<Request<Body>> {
-    let names = traffic.dialect.headers();
-    let path = sending.parts.uri.path_and_query();
-    let mut request = Request::new(sending.body.take()?);
-    *request.method_mut() = sending.parts.method.clone();
+    let names = traffic.wire_format.headers();
+    let path = outgoing.parts.uri.path_and_query();
+    let mut request = Request::new(outgoing.body.take()?);
+    *request.method_mut() = outgoing.parts.method.clone();
     *request.uri_mut() = path.map_or("/", |path| path.as_str()).parse().ok()?;
     let headers = request.headers_mut();
-    *headers = end_to_end(&sending.parts.headers);
-    name_sender(headers, &names.customer, sending.sender)?;
-    let left = sending.deadline.saturating_duration_since(clock::now());
+    *headers = end_to_end(&outgoing.parts.headers);
+    set_customer(headers, &names.customer, outgoing.sender)?;
+    let left = outgoing.deadline.saturating_duration_since(clock::now());
     headers.insert(&names.deadline_ms, (left.as_millis() as u64).into());
     let id = HeaderValue::from_str(&upstream.report.id).ok()?;
     headers.insert(&names.expected_upstream, id);
     Some(request)
 }
 
-/// Tells the upstream who the customer is, and not by which key that is known. What the
-/// caller itself said of it is not passed on.
-fn name_sender(headers: &mut HeaderMap, name: &HeaderName, sender: &Sender) -> Option<()> {
+/// Names the customer to the upstream and removes its key. Removes a customer header that the
+/// caller itself has set.
+fn set_customer(headers: &mut HeaderMap, name: &HeaderName, sender: &Sender) -> Option<()> {
     if *sender == Sender::Anyone {
         return Some(());
     }
@@ -235,69 +238,76 @@
     Some(())
 }
 
-/// Passes an answer on, where it is this request's own and the upstream's.
-fn take(
+/// Returns an answer to pass on, if it belongs to this request and comes from the upstream itself.
+fn accept_answer(
     traffic: &Arc<Traffic>,
     choice: &Choice,
     answer: Response<TrackedBody>,
-    sending: &Sending<'_>,
-    flight: Flight,
-) -> Result<Response<Body>, Missed> {
-    let names = traffic.dialect.headers();
+    outgoing: &OutgoingRequest<'_>,
+    in_flight: InFlight,
+) -> Result<Response<Body>, SendFailure> {
+    let names = traffic.wire_format.headers();
     let headers = answer.headers();
     let is_own = headers
         .get(&names.request_id)
-        .is_some_and(|id| id.as_bytes() == sending.head.id.as_bytes());
-    if !is_own && !sending.head.id.is_empty() {
-        flight.judge(AnswerOutcome::Broken);
-        return Err(Missed::new(
+        .is_some_and(|id| id.as_bytes() == outgoing.head.id.as_bytes());
+    if !is_own && !outgoing.head.id.is_empty() {
+        in_flight.record(AnswerOutcome::Broken);
+        return Err(SendFailure::new(
             SendOutcome::Perhaps,
             "an answer to another request",
         ));
     }
     let status = answer.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        flight.judge(AnswerOutcome::Refused);
-        flight.upstream.state().replaced();
-        return Err(Missed::new(SendOutcome::Refused, "another has the address"));
+        in_flight.record(AnswerOutcome::Refused);
+        in_flight.upstream.state().replaced();
+        return Err(SendFailure::new(
+            SendOutcome::Refused,
+            "another upstream process has the address",
+        ));
     }
-    let statement = traffic.dialect.statement(status, headers);
-    let lacks_proof = status.is_success() && !headers.contains_key(&names.proof);
+    let statement = traffic.wire_format.parse_statement(status, headers);
+    let lacks_proof = status.is_success() && !headers.contains_key(&names.signature);
     let is_own = !status.is_informational() && !lacks_proof;
-    let said = Said {
-        sent: flight.begun,
+    let answer_head = AnswerHead {
+        sent: in_flight.started_at,
         statement,
         is_own,
     };
-    hear(&flight.upstream, &said);
-    let unread = traffic.dialect.unread(headers);
-    traffic.unread.note(&flight.upstream.report.id, &unread);
+    apply_statement(&in_flight.upstream, &answer_head);
+    let unknown = traffic.wire_format.unknown_statements(headers);
+    traffic
+        .unknown_statements
+        .note(&in_flight.upstream.report.id, &unknown);
     let load = headers.get(&names.load).and_then(|load| load.to_str().ok());
-    // One that wants rest has nothing to do and no room: its load says nothing of either.
+    // An upstream that asks to rest is idle and accepts nothing, so its load is meaningless.
     let load = load.filter(|_| statement.rest.is_none());
-    if let Some(load) = load.and_then(|load| traffic.dialect.load(load)) {
-        let reporter = &flight.upstream;
+    if let Some(load) = load.and_then(|load| traffic.wire_format.parse_load(load)) {
+        let reporter = &in_flight.upstream;
         reporter.load_reported(clock::now(), load.running, load.waiting);
     }
     if headers.contains_key(&names.not_run) {
-        flight.judge(AnswerOutcome::Refused);
-        return Err(Missed::new(SendOutcome::Refused, status));
+        in_flight.record(AnswerOutcome::Refused);
+        return Err(SendFailure::new(SendOutcome::Refused, status));
     }
     if !is_own {
-        flight.judge(AnswerOutcome::Broken);
-        return Err(Missed::new(
+        in_flight.record(AnswerOutcome::Broken);
+        return Err(SendFailure::new(
             SendOutcome::Perhaps,
             "not an upstream's own answer",
         ));
     }
-    flight.judge(AnswerOutcome::Complete);
+    in_flight.record(AnswerOutcome::Complete);
     if status.is_success() {
         let now = clock::now();
-        let took = now - flight.begun;
-        traffic.shares().learn(now, sending.route, choice, took);
+        let took = now - in_flight.started_at;
+        traffic
+            .stats()
+            .record_answer(now, outgoing.route, choice, took);
     }
     let (mut parts, body) = answer.into_parts();
     parts.headers = end_to_end(&parts.headers);
-    let body = Holding::new(body, flight).boxed_unsync();
+    let body = Holding::new(body, in_flight).boxed_unsync();
     Ok(Response::from_parts(parts, body))
 }
--- a/crates/gateway/src/traffic/hear.rs
+++ b/crates/gateway/src/traffic/statements.rs
@@ -1,4 +1,4 @@
-//! Takes what upstreams say of themselves in the heads of their answers.
+//! Handles what upstreams declare about themselves in the heads of their answers.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -6,56 +6,56 @@
 
 use hyper::header::HeaderName;
 use steering::route::Upstream;
-use steering::statement::{LimitChange, LimitNamed, RestAsked, Statement};
+use steering::statement::{LimitChange, RequestedLimit, RequestedRest, Statement};
 
-/// Names of statements that are kept in mind because nothing reads them.
-const UNREAD_MOST: usize = 32;
+/// Most unknown statement names that are remembered.
+const MAX_UNKNOWN_STATEMENTS: usize = 32;
 
-/// An answer, as far as it says something of its upstream.
-pub(super) struct Said {
-    /// When its request was sent.
+/// The head of an answer, as far as it concerns the upstream.
+pub(super) struct AnswerHead {
+    /// When the request was sent.
     pub sent: Instant,
-    /// What it states.
+    /// What the head declares.
     pub statement: Statement,
-    /// Whether it is the upstream's own answer, whole as far as can be told from its head. Only
-    /// such a one says something by what it does not name.
+    /// Whether the answer comes from the upstream itself and looks complete by its head. Only in
+    /// such an answer does a missing declaration mean anything.
     pub is_own: bool,
 }
 
-/// Takes what an answer states of its upstream.
-pub(super) fn hear(upstream: &Upstream, said: &Said) {
-    let statement = &said.statement;
+/// Applies what the head of an answer declares about its upstream.
+pub(super) fn apply_statement(upstream: &Upstream, head: &AnswerHead) {
+    let statement = &head.statement;
     let now = clock::now();
     if statement.leaves && upstream.state().statements.leave(now) {
         let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
         tracing::info!(event = "upstream_leaves", upstream = id, born_ms);
     }
     if let Some(asked) = statement.rest {
-        hear_rest(upstream, now, asked);
+        apply_rest(upstream, now, asked);
     }
-    hear_limit(upstream, now, said);
+    apply_limit(upstream, now, head);
 }
 
-fn hear_rest(upstream: &Upstream, now: Instant, asked: RestAsked) {
+fn apply_rest(upstream: &Upstream, now: Instant, asked: RequestedRest) {
     let rest = asked.granted();
     if upstream.state().statements.rest(now, rest) {
         let (id, rest_ms) = (&upstream.report.id, rest.as_millis() as u64);
-        let as_asked = asked.is_granted_whole();
+        let as_asked = asked.is_granted_in_full();
         tracing::info!(event = "upstream_rests", upstream = id, rest_ms, as_asked);
     }
 }
 
-fn hear_limit(upstream: &Upstream, now: Instant, said: &Said) {
-    let named = said.statement.limit;
-    if named.is_none() && !said.is_own {
+fn apply_limit(upstream: &Upstream, now: Instant, head: &AnswerHead) {
+    let named = head.statement.limit;
+    if named.is_none() && !head.is_own {
         return;
     }
-    let granted = named.and_then(LimitNamed::granted);
-    let change = upstream.state().statements.limit(now, said.sent, granted);
+    let granted = named.and_then(RequestedLimit::granted);
+    let change = upstream.state().statements.limit(now, head.sent, granted);
     let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
     match (change, named) {
         (Some(LimitChange::Named), Some(named)) => {
-            let as_named = named.is_granted_whole();
+            let as_named = named.is_granted_in_full();
             tracing::info!(
                 event = "upstream_limits",
                 upstream = id,
@@ -71,23 +71,23 @@
     }
 }
 
-/// Names of statements that nothing reads, each told once.
+/// Names of unknown statements. Each is logged once.
 #[derive(Debug, Default)]
-pub(super) struct Unread(Mutex<BTreeSet<String>>);
+pub(super) struct UnknownStatements(Mutex<BTreeSet<String>>);
 
-impl Unread {
-    /// Counts those of an answer of `upstream`.
+impl UnknownStatements {
+    /// Counts the unknown statements in an answer of `upstream`.
     pub fn note(&self, upstream: &str, names: &[&HeaderName]) {
         if names.is_empty() {
             return;
         }
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for name in names.iter().map(|name| name.as_str()) {
-            if !known.contains(name) {
-                if known.len() >= UNREAD_MOST {
+            if !seen.contains(name) {
+                if seen.len() >= MAX_UNKNOWN_STATEMENTS {
                     continue;
                 }
-                known.insert(name.to_owned());
+                seen.insert(name.to_owned());
                 tracing::warn!(event = "statement_unread", upstream, name);
             }
             metrics::counter!("stagedeck_unread_statements_total", "name" => name.to_owned())
--- /dev/null
+++ b/crates/gateway/src/traffic/stats.rs
@@ -0,0 +1,255 @@
+//! State that the traffic thread adapts: retry budgets, shares of services and regions, and
+//! response times.
+
+use std::collections::{HashMap, HashSet};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use steering::ids::{RegionName, RuleName, ServiceName};
+use steering::route::{
+    CallerAttempt, CallerTimeouts, Choice, Estimate, RegionPool, RegionShare, RetryShare, Route,
+    RouteView, ServicePool, WeightedRoundRobin, share_by_capacity,
+};
+
+use crate::settings::{Bounds, GatewaySettings};
+
+/// Weight of the newest response time in a service's moving average.
+const NEWEST_WEIGHT: f64 = 0.05;
+/// Smallest fraction of a response time that counts as work, whatever wait was expected.
+const MIN_WORK_FRACTION: f64 = 0.3;
+/// Cap on a response time, as a multiple of the average, so that a few slow upstreams do not
+/// dominate the average.
+const LATENCY_CAP_FACTOR: f64 = 3.0;
+
+/// Adaptive state of this host.
+pub(super) struct TrafficStats {
+    region: RegionName,
+    retry_shares: HashMap<ServiceName, RetryShare>,
+    service_spreads: HashMap<RuleName, WeightedRoundRobin>,
+    region_shares: HashMap<ServiceName, RegionShare>,
+    /// Moving average of the time from a send to the head of its answer, in milliseconds.
+    average_latency_ms: HashMap<ServiceName, f64>,
+    /// Estimated work time of each route at each service.
+    estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
+    /// How long callers of each route wait.
+    patience: HashMap<RuleName, CallerTimeouts>,
+    /// Version of the document that the routes belong to.
+    version: u64,
+}
+
+impl TrafficStats {
+    pub fn new(settings: &GatewaySettings) -> Self {
+        TrafficStats {
+            region: settings.region.clone(),
+            retry_shares: HashMap::new(),
+            service_spreads: HashMap::new(),
+            region_shares: HashMap::new(),
+            average_latency_ms: HashMap::new(),
+            estimates: HashMap::new(),
+            patience: HashMap::new(),
+            version: 0,
+        }
+    }
+
+    /// Selects the service for a request of a route, by weight.
+    pub fn pick_service<'a>(&mut self, route: &'a Route) -> &'a ServiceName {
+        if route.parts.len() == 1 {
+            return &route.parts[0].service;
+        }
+        let spread = self.service_spreads.entry(route.name.clone()).or_default();
+        &route.parts[spread.pick(&route.parts)].service
+    }
+
+    /// Whether a request stays in this host's region. `place` is the position of its object, by
+    /// which the share of the region applies.
+    pub fn stays_in_region(
+        &mut self,
+        service: &str,
+        pool: &ServicePool,
+        place: f64,
+        now: Instant,
+    ) -> bool {
+        if !self.region_shares.contains_key(service) {
+            let spread = RegionShare::new(free_capacity_fraction(
+                pool,
+                &self.region,
+                now,
+                self.average_latency(service),
+            ));
+            self.region_shares.insert(service.to_owned(), spread);
+        }
+        let spread = self.region_shares.get_mut(service);
+        spread.is_none_or(|spread| spread.keeps_local(place))
+    }
+
+    /// Counts a request to a service for its retry budget.
+    pub fn count_request(&mut self, service: &str, bounds: &Bounds, now: Instant) {
+        self.retry_share(service, bounds).request(now);
+    }
+
+    /// Whether a caller of a route has sent the request before, judged by how long it will wait.
+    pub fn caller_attempt(&mut self, route: &str, patience: Duration) -> CallerAttempt {
+        if !self.patience.contains_key(route) {
+            self.patience
+                .insert(route.to_owned(), CallerTimeouts::default());
+        }
+        let route_patience = self
+            .patience
+            .get_mut(route)
+            .expect("the entry exists or was just inserted");
+        route_patience.take(patience)
+    }
+
+    /// Takes a retry from the service's budget. Returns whether it is allowed.
+    pub fn take_retry(
+        &mut self,
+        service: &str,
+        bounds: &Bounds,
+        sharers: Option<usize>,
+        of: CallerAttempt,
+        now: Instant,
+    ) -> bool {
+        self.retry_share(service, bounds)
+            .take_retry(now, sharers, of)
+    }
+
+    fn retry_share(&mut self, service: &str, bounds: &Bounds) -> &mut RetryShare {
+        let Bounds {
+            retry_ratio,
+            retry_slack,
+            retry_window,
+            ..
+        } = *bounds;
+        if !self.retry_shares.contains_key(service) {
+            self.retry_shares
+                .insert(service.to_owned(), RetryShare::default());
+        }
+        let part = self
+            .retry_shares
+            .get_mut(service)
+            .expect("the entry exists or was just inserted");
+        part.set_bound(retry_ratio, retry_slack, retry_window);
+        part
+    }
+
+    /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
+    /// serve.
+    pub fn cold_send_rate(bounds: &Bounds, capacity_per_s: f64) -> f64 {
+        capacity_per_s * bounds.warm_up_overage + bounds.warm_up_slack
+    }
+
+    /// Average response time of the service; none before its first answer.
+    pub fn average_latency(&self, service: &str) -> Option<Duration> {
+        self.average_latency_ms.get(service).copied().map(from_ms)
+    }
+
+    /// Estimated work time of a route at a service.
+    pub fn estimate(&mut self, service: &str, route: &Route) -> Estimate {
+        if !self.estimates.contains_key(service) {
+            self.estimates.insert(service.to_owned(), HashMap::new());
+        }
+        let routes = self
+            .estimates
+            .get_mut(service)
+            .expect("the entry exists or was just inserted");
+        if !routes.contains_key(&route.name) {
+            routes.insert(route.name.clone(), Estimate::new(route.goal));
+        }
+        routes[&route.name].clone()
+    }
+
+    /// Learns from the response time of a request.
+    pub fn record_answer(&mut self, now: Instant, route: &str, choice: &Choice, took: Duration) {
+        let service = &choice.upstream.report.service;
+        let expected = &choice.expectation;
+        let least = took.mul_f64(MIN_WORK_FRACTION);
+        let work = took.saturating_sub(expected.wait).max(least);
+        self.update_average(service, work);
+        let routes = self.estimates.get_mut(service);
+        // A new document may have removed the route meanwhile.
+        let Some(estimate) = routes.and_then(|routes| routes.get_mut(route)) else {
+            return;
+        };
+        let ratio = estimate.learn(expected.affinity, choice.cold, expected.speed, work);
+        choice.upstream.state().speed.take(now, ratio);
+    }
+
+    /// Drops the state of routes that are not in a new document.
+    fn forget_routes(&mut self, view: &RouteView) {
+        if view.version == self.version {
+            return;
+        }
+        self.version = view.version;
+        let names: HashSet<&RuleName> = view.table.names().collect();
+        self.service_spreads.retain(|name, _| names.contains(name));
+        self.patience.retain(|name, _| names.contains(name));
+        for routes in self.estimates.values_mut() {
+            routes.retain(|name, _| names.contains(name));
+        }
+        self.estimates.retain(|_, routes| !routes.is_empty());
+    }
+
+    /// Updates the service's average response time.
+    fn update_average(&mut self, service: &str, took: Duration) {
+        let took_ms = took.as_secs_f64() * 1_000.0;
+        match self.average_latency_ms.get_mut(service) {
+            Some(average) => {
+                *average += NEWEST_WEIGHT * (took_ms.min(*average * LATENCY_CAP_FACTOR) - *average)
+            }
+            None => drop(self.average_latency_ms.insert(service.to_owned(), took_ms)),
+        }
+    }
+
+    /// Adapts the regions' shares, and drops the state of routes that are not in the document.
+    pub fn adapt(
+        &mut self,
+        view: &Arc<RouteView>,
+        bounds: &Bounds,
+        now: Instant,
+        elapsed: Duration,
+    ) {
+        self.forget_routes(view);
+        // The step is half of the shift allowed between two 2 s windows, which leaves room for
+        // random variation.
+        let step = bounds.max_region_shift / 2.0 / 2.0 * elapsed.as_secs_f64().min(2.0);
+        for (service, spread) in &mut self.region_shares {
+            let average = self.average_latency_ms.get(service).copied().map(from_ms);
+            let Some(pool) = view.services.get(service) else {
+                continue;
+            };
+            let own = pool.regions.get(&self.region);
+            let hosts = view.region_hosts.as_ref().map_or(1, Vec::len);
+            let own_use = own.map_or(f64::INFINITY, |own| own.utilization(now, hosts, average));
+            let others = pool.regions.iter();
+            let others = others.filter(|(region, _)| **region != self.region);
+            let others_use = others.map(|(_, pool)| pool.utilization(now, hosts, average));
+            let before = spread.share();
+            let others_use = others_use.fold(f64::INFINITY, f64::min);
+            let free_capacity_fraction = free_capacity_fraction(pool, &self.region, now, average);
+            spread.adapt(step, own_use, others_use, free_capacity_fraction);
+            if before != spread.share() {
+                let own = spread.share();
+                tracing::info!(event = "region_share", service, own, own_use);
+            }
+            metrics::gauge!("stagedeck_region_share", "service" => service.clone())
+                .set(spread.share());
+        }
+    }
+}
+
+/// The region's fraction of the service's free capacity.
+fn free_capacity_fraction(
+    pool: &ServicePool,
+    region: &RegionName,
+    now: Instant,
+    average: Option<Duration>,
+) -> f64 {
+    let room = |pool: &RegionPool| pool.capacity(now, average);
+    let own = pool.regions.get(region).map_or(0.0, room);
+    let all = pool.regions.values().map(room).sum();
+    share_by_capacity(own, all, pool.regions.len())
+}
+
+fn from_ms(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms / 1_000.0)
+}
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -12,7 +12,7 @@
 use super::upstream::UpstreamId;
 use super::view::{RegionPool, Upstream};
 use crate::ids::HostName;
-use crate::statement::{LimitHeard, Obstacle};
+use crate::statement::{KnownLimit, Obstacle};
 
 /// Longest queueing time accepted at an object's home, as a multiple of the latency goal.
 /// At an upstream that does not hold the object the work takes three times as long and
@@ -58,13 +58,13 @@
     pub fn new_obstacle(&self, now: Instant) -> Option<Obstacle> {
         let state = self.upstream.state();
         let obstacle = state.obstacle(now);
-        let blocking = obstacle.filter(|obstacle| obstacle.bars_chosen());
+        let blocking = obstacle.filter(|obstacle| obstacle.blocks_chosen_request());
         let lacks_token = !self.has_token && state.statements.limit_heard(now).is_some();
-        blocking.or(lacks_token.then_some(Obstacle::Limits(Duration::ZERO)))
+        blocking.or(lacks_token.then_some(Obstacle::LimitExhausted(Duration::ZERO)))
     }
 
     /// Returns the rate limit of which the request needs a token before it is sent.
-    pub fn limit(&self, now: Instant) -> Option<LimitHeard> {
+    pub fn limit(&self, now: Instant) -> Option<KnownLimit> {
         self.upstream.state().statements.limit_heard(now)
     }
 
--- a/crates/steering/src/route/host_message.rs
+++ b/crates/steering/src/route/host_message.rs
@@ -2,23 +2,23 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::allowance::{TokenAsk, TokenReply};
-use super::limit::{LimitAsk, LimitReply};
-use super::suspect::{WorkDigest, WorkNews, WorkState};
+use super::allowance::{TokenReply, TokenRequest};
+use super::limit::{LimitReply, LimitTokenRequest};
+use super::suspect::{WorkDigest, WorkState, WorkUpdate};
 use crate::ids::CustomerName;
 
 /// A request or an update to another host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HostMessage {
     /// Request to the host that holds a pool of allowances.
-    Tokens(TokenAsk),
+    Tokens(TokenRequest),
     /// Request to a nearby host for the tokens that requests wait for, by customer. They
     /// are spent at once.
     Spare(Vec<(CustomerName, u32)>),
     /// Request to a host that holds a share of an upstream's rate limit.
-    Limit(LimitAsk),
+    Limit(LimitTokenRequest),
     /// Update to all hosts about requests that crash upstreams.
-    Works(Vec<WorkNews>),
+    Works(Vec<WorkUpdate>),
     /// Request for the updates about such requests that the sender may have missed, with a
     /// digest of what it knows.
     MissedWorks(WorkDigest),
--- a/crates/steering/src/route/mod.rs
+++ b/crates/steering/src/route/mod.rs
@@ -44,8 +44,9 @@
 mod zone_health;
 
 pub use allowance::{
-    AllowanceTerms, GROUPS, KEEP_ALIVE, Spared, Stamp, Step, Take, TokenAsk, TokenBound,
-    TokenGrant, TokenGroup, TokenLeases, TokenPool, TokenReply, TokenWant, group_of,
+    AllowanceTolerance, GROUPS, KEEP_ALIVE, LeaseStep, PoolTime, TakeResult, TokenBound,
+    TokenDemand, TokenGrant, TokenGroup, TokenLeases, TokenPool, TokenReply, TokenRequest,
+    ZoneLoan, group_of,
 };
 pub use caller_timeouts::CallerTimeouts;
 pub use catalog::{Catalog, CatalogChange};
@@ -67,8 +68,8 @@
 pub use host_table::{HostTable, KnownHost};
 pub use key_hash::KeyHash;
 pub use limit::{
-    HOLDERS_MOST, LimitAsk, LimitAsks, LimitReply, LimitTerms, LimitTokens, PartChange, holders,
-    limit_part,
+    HolderSelector, LimitReply, LimitTokenRequest, LimitTokens, LimitTolerance, MAX_HOLDERS,
+    ShareChange, holder_share, holders,
 };
 pub use pace::{CallerAttempt, ColdSends, RetryShare, cold_share};
 pub use poll_schedule::{PollSchedule, UpdateKind};
@@ -82,8 +83,8 @@
 pub use spread::{RegionShare, WeightedRoundRobin, share_by_capacity};
 pub use store_answers::{StoreAnswers, StoreUptime};
 pub use suspect::{
-    Abandoned, Admission, ENDS_REFUSED, RefusedWork, Suspects, WorkDigest, WorkIdentity, WorkKey,
-    WorkNews, WorkParts, WorkRank, WorkState, WorkTold,
+    AbandonedRequests, Admission, CRASHES_TO_REFUSE, RefusedWork, Suspects, WorkDigest, WorkEvent,
+    WorkIdentity, WorkKey, WorkParts, WorkRank, WorkState, WorkUpdate,
 };
 pub use table::RouteTable;
 pub use unavailable::{Unavailable, UnavailableCause};
--- a/crates/steering/src/route/suspect/news.rs
+++ b/crates/steering/src/route/suspect/news.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of work under which upstreams end.
+//! Updates between hosts about work that crashes upstreams.
 
 use std::time::Duration;
 
@@ -6,58 +6,64 @@
 
 use super::work::WorkIdentity;
 
-/// Something learned of a request that may come again.
+/// Update about one piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkNews {
-    /// The work.
+pub struct WorkUpdate {
+    /// The work that the update is about.
     pub work: WorkIdentity,
-    /// What was learned.
-    pub told: WorkTold,
+    /// What happened to the work.
+    #[serde(rename = "told")]
+    pub event: WorkEvent,
 }
 
-/// What is learned of it.
+/// What happened to a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WorkTold {
-    /// An upstream has ended while it was in flight there.
-    Ended {
+pub enum WorkEvent {
+    /// An upstream crashed while the work was in flight there.
+    #[serde(rename = "Ended")]
+    Crashed {
         /// Hash of the upstream's start.
         start: u64,
-        /// Time since the work was sent there, in milliseconds.
+        /// Time since the work was sent to the upstream, in milliseconds.
         sent_ms: u32,
-        /// Time since the end, in milliseconds.
-        ended_ms: u32,
+        /// Time since the crash, in milliseconds.
+        #[serde(rename = "ended_ms")]
+        crashed_ms: u32,
     },
-    /// An upstream has answered it: whatever ended others was something else, or is mended.
+    /// An upstream answered the work, so the earlier crashes had another cause, or the fault is
+    /// fixed.
     Answered {
-        /// Time since the work was sent there, in milliseconds.
+        /// Time since the work was sent to the upstream, in milliseconds.
         sent_ms: u32,
     },
-    /// One request of it is sent to find out whether that is so; others wait for what comes.
-    Tried,
-    /// An operator wants it refused.
+    /// A single trial request was sent to see whether the work still crashes upstreams. Other
+    /// requests wait for its result.
+    #[serde(rename = "Tried")]
+    TrialStarted,
+    /// An operator ordered the work to be refused.
     Refused,
-    /// An operator wants it served again.
+    /// An operator ordered the work to be served again.
     Cleared,
 }
 
-impl WorkTold {
-    /// As it is told so much later.
-    pub fn later(self, by: Duration) -> Self {
+impl WorkEvent {
+    /// The same update with all ages increased by `by`, for delivery after a delay.
+    pub fn aged_by(self, by: Duration) -> Self {
         let by = by.as_millis() as u32;
         match self {
-            WorkTold::Ended {
+            WorkEvent::Crashed {
                 start,
                 sent_ms,
-                ended_ms,
-            } => WorkTold::Ended {
+                crashed_ms,
+            } => WorkEvent::Crashed {
                 start,
                 sent_ms: sent_ms.saturating_add(by),
-                ended_ms: ended_ms.saturating_add(by),
+                crashed_ms: crashed_ms.saturating_add(by),
             },
-            WorkTold::Answered { sent_ms } => WorkTold::Answered {
+            WorkEvent::Answered { sent_ms } => WorkEvent::Answered {
                 sent_ms: sent_ms.saturating_add(by),
             },
-            told @ (WorkTold::Tried | WorkTold::Refused | WorkTold::Cleared) => told,
+            event @ (WorkEvent::TrialStarted | WorkEvent::Refused | WorkEvent::Cleared) => event,
         }
     }
 }
--- a/crates/steering/src/route/unavailable.rs
+++ b/crates/steering/src/route/unavailable.rs
@@ -115,12 +115,12 @@
         if self.first_ids.len() < MAX_RECORDED && obstacle.is_stated() {
             self.first_ids.push(upstream.report.id.clone());
         }
-        if let Obstacle::Limits(wait) = obstacle {
+        if let Obstacle::LimitExhausted(wait) = obstacle {
             self.add_limited(upstream, wait, homes);
         }
         let rest = match obstacle {
             Obstacle::Rests(rest) => rest,
-            Obstacle::Returns => Duration::ZERO,
+            Obstacle::TrialPending => Duration::ZERO,
             _ => return,
         };
         if self.resting < homes {
@@ -132,7 +132,7 @@
     fn add_limited(&mut self, upstream: &Upstream, wait: Duration, homes: usize) {
         if self.rate_limited < homes && self.next_token.is_none_or(|earliest| wait < earliest.wait)
         {
-            let spread = upstream.state().statements.limit_turns_away();
+            let spread = upstream.state().statements.limit_refused_request();
             self.next_token = Some(NextToken { wait, spread });
         }
         self.rate_limited += 1;
--- a/crates/steering/src/route/upstream_state.rs
+++ b/crates/steering/src/route/upstream_state.rs
@@ -7,8 +7,8 @@
 use super::pace::ColdSends;
 use super::sent_objects::SentObjects;
 use super::speed::Speed;
-use super::suspect::Abandoned;
-use crate::statement::{Obstacle, Stated};
+use super::suspect::AbandonedRequests;
+use crate::statement::{ActiveStatements, Obstacle};
 
 /// Lifetime of a load report.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
@@ -45,9 +45,9 @@
     /// Whether another process start has taken over the address.
     replaced: bool,
     /// Requests that were sent to the upstream and then abandoned.
-    pub abandoned: Abandoned,
+    pub abandoned: AbandonedRequests,
     /// Statements of the upstream about itself.
-    pub statements: Stated,
+    pub statements: ActiveStatements,
     /// Response time relative to the service's typical one.
     pub speed: Speed,
     /// Objects recently sent to the upstream by this host.
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -211,7 +211,7 @@
             let state = upstream.state();
             counts.limiting += usize::from(state.statements.limit_heard(now).is_some());
             match state.obstacle(now) {
-                Some(Obstacle::Rests(_) | Obstacle::Returns) => counts.resting += 1,
+                Some(Obstacle::Rests(_) | Obstacle::TrialPending) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
                 _ => {}
             }
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -20,7 +20,7 @@
 fn run_dry(service: &ServicePool, id: &str, now: Instant, wait: Duration) {
     name_limit(service, id, now, 4.0);
     let upstream = member(service, id);
-    upstream.state().statements.limit_is_dry(now, wait);
+    upstream.state().statements.limit_exhausted(now, wait);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     name_limit(&service, &id, now, 4.0);
     assert_eq!(
         choice.new_obstacle(now),
-        Some(Obstacle::Limits(Duration::ZERO))
+        Some(Obstacle::LimitExhausted(Duration::ZERO))
     );
     let with_token = steering::route::Choice {
         has_token: true,
@@ -107,7 +107,7 @@
     }
     condition.statements.limit(now, now, Some(4.0));
     assert!(condition.allows_retry(now));
-    condition.statements.limit_is_dry(now, WAIT);
+    condition.statements.limit_exhausted(now, WAIT);
     assert!(!condition.allows_retry(now));
 }
 
@@ -232,7 +232,7 @@
     let now = Instant::now();
     let mut condition = UpstreamState::default();
     condition.statements.limit(now, now, Some(4.8));
-    condition.statements.limit_is_dry(now, WAIT);
+    condition.statements.limit_exhausted(now, WAIT);
     let change = condition.statements.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
     assert_eq!(
