--- a/crates/steering/tests/route_choice.rs
+++ b/crates/steering/tests/route_choice.rs
@@ -1,15 +1,16 @@
-//! Which upstream gets a request.
+//! Selection of an upstream for a request.
 
 mod route_world;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use route_world::{SLOTS, choose, homes, load, member, pool, service, wish};
+use route_world::{SLOTS, choose, homes, load, member, pool, requirements, service};
 use rstest::rstest;
 use steering::route::{AnswerOutcome, Requirements, ServicePool, Upstream};
 
-/// A wait of 600 ms is as long as it may be: 9 more than the slots, 200 ms each, by 3.
+/// The longest accepted wait is 600 ms: 9 requests more than the slots, at 200 ms each,
+/// divided by 3 slots.
 #[rstest]
 #[case::idle(0, 0, 0, Some(0))]
 #[case::short_wait(5, 0, 0, Some(0))]
@@ -18,7 +19,7 @@
 #[case::too_long_and_asked_for_seldom(12, 0, 6, None)]
 #[case::too_long_and_hot(12, 0, 60, Some(1))]
 #[case::too_long_and_hot_and_second_full(12, 12, 60, None)]
-fn an_object_waits_at_its_home(
+fn object_queues_at_its_home_up_to_the_longest_wait(
     #[case] at_first: u32,
     #[case] at_second: u32,
     #[case] sent_before: usize,
@@ -31,17 +32,17 @@
     load(&service, &second, at_second, now);
     let full = member(&service, &first);
     (0..sent_before).for_each(|_| full.state().sent_objects.sent(now, 42));
-    let choice = choose(pool(&service), &wish(&service, None), now);
+    let choice = choose(pool(&service), &requirements(&service, None), now);
     match (choice, home) {
         (Ok(choice), Some(home)) => {
             let expected = if home == 0 { first } else { second };
             assert_eq!(choice.upstream.report.id, expected);
         }
-        (Err(no_room), None) => {
-            assert!(no_room.is_reachable());
+        (Err(unavailable), None) => {
+            assert!(unavailable.is_reachable());
             assert!(
-                no_room.retry_after >= Duration::from_millis(600),
-                "{no_room:?}"
+                unavailable.retry_after >= Duration::from_millis(600),
+                "{unavailable:?}"
             );
         }
         (choice, home) => panic!("{choice:?} instead of {home:?}"),
@@ -55,7 +56,7 @@
 #[case::both_full([3, 3, 1], Some(2))]
 #[case::all_full([8, 4, 9], Some(1))]
 #[case::no_bearable_wait([12, 12, 13], None)]
-fn work_on_no_object_goes_where_least_is_to_do(
+fn request_without_object_goes_to_least_loaded_upstream(
     #[case] loads: [u32; 3],
     #[case] rank: Option<usize>,
 ) {
@@ -73,22 +74,23 @@
             now,
         );
     }
-    let wish = Requirements {
+    let requirements = Requirements {
         by_object: false,
-        ..wish(&service, None)
+        ..requirements(&service, None)
     };
-    let choice = choose(pool(&service), &wish, now);
+    let choice = choose(pool(&service), &requirements, now);
     assert_eq!(choice.map(|choice| choice.rank).ok(), rank);
 }
 
-/// Loads of the object's first and second home, and whether the second was sent work on it.
+/// Loads of the object's first and second home, and whether work on the object was also
+/// sent to the second.
 #[rstest]
 #[case::equal_loads(1, 1, true, 0)]
 #[case::second_has_less(2, 0, true, 1)]
 #[case::first_is_full(7, 0, true, 1)]
 #[case::both_are_full(7, 8, true, 0)]
 #[case::second_would_have_to_fetch_it(7, 0, false, 0)]
-fn an_object_held_twice_goes_where_less_is_to_do(
+fn object_held_twice_goes_to_less_loaded_home(
     #[case] at_first: u32,
     #[case] at_second: u32,
     #[case] held_twice: bool,
@@ -103,13 +105,13 @@
     }
     load(&service, &first, at_first, now);
     load(&service, &second, at_second, now);
-    let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), now).unwrap();
     assert_eq!(choice.rank, home, "{:?}", choice.expectation);
 }
 
 /// Only the first home is known to be slow.
 #[test]
-fn a_slow_home_is_left_for_another_that_holds_the_object() {
+fn slow_home_is_avoided_if_another_holds_the_object() {
     let now = Instant::now();
     let service = service(5, Duration::ZERO, now);
     let (first, second) = homes(5, now);
@@ -118,49 +120,53 @@
     }
     let home = member(&service, &first);
     (0..4).for_each(|_| home.state().speed.take(now, 4.0));
-    let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), now).unwrap();
     assert_eq!(choice.upstream.report.id, second);
     let later = now + Duration::from_secs(30);
-    let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
-    assert_eq!(choice.upstream.report.id, first, "its slow answers are old");
+    let choice = choose(pool(&service), &requirements(&service, None), later).unwrap();
+    assert_eq!(
+        choice.upstream.report.id, first,
+        "its slow answers have expired"
+    );
 }
 
-/// How often the first home gave no answer within ten times what was expected.
+/// Number of times the first home gave no answer within ten times the expected time.
 #[rstest]
 #[case::never(0, 0)]
 #[case::again_and_again(6, 1)]
-fn a_home_that_gives_no_answers_in_time_is_left(#[case] silent: usize, #[case] rank: usize) {
+fn home_that_times_out_is_avoided(#[case] timeouts: usize, #[case] rank: usize) {
     let now = Instant::now();
     let service = service(5, Duration::ZERO, now);
-    let sent = choose(pool(&service), &wish(&service, None), now).unwrap();
+    let sent = choose(pool(&service), &requirements(&service, None), now).unwrap();
     let expected = sent.expectation.wait + sent.expectation.work.if_fetched;
-    for _ in 0..silent {
+    for _ in 0..timeouts {
         sent.note_timeout(now, expected * 10);
     }
-    let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), now).unwrap();
     assert_eq!(choice.rank, rank, "{:?}", choice.expectation);
     let later = now + Duration::from_secs(30);
-    let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
-    assert_eq!(choice.rank, 0, "it is tried again");
+    let choice = choose(pool(&service), &requirements(&service, None), later).unwrap();
+    assert_eq!(choice.rank, 0, "the first home is used again");
 }
 
 #[test]
-fn a_home_that_can_not_be_used_is_passed_over() {
+fn unusable_home_is_skipped() {
     let now = Instant::now();
     let service = service(5, Duration::ZERO, now);
     let (first, second) = homes(5, now);
     let home = member(&service, &first);
     home.state().answered(now, AnswerOutcome::Unreachable);
-    let choice = choose(pool(&service), &wish(&service, None), now).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), now).unwrap();
     assert_eq!(choice.upstream.report.id, second);
     let later = now + Duration::from_secs(20);
-    let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
-    assert_eq!(choice.upstream.report.id, first, "it has rested");
+    let choice = choose(pool(&service), &requirements(&service, None), later).unwrap();
+    assert_eq!(choice.upstream.report.id, first, "the ejection is over");
 }
 
-/// A zone is lost: two of its upstreams have failed, and the object's home was not asked.
+/// A zone is down: two of its upstreams failed, and no request was sent to the object's
+/// home.
 #[test]
-fn upstreams_of_a_doubted_zone_come_last() {
+fn upstreams_of_a_suspected_zone_rank_last() {
     let now = Instant::now();
     let service = service(6, Duration::ZERO, now);
     let (first, _) = homes(6, now);
@@ -171,40 +177,46 @@
     let other = others
         .into_iter()
         .find(|o| o.report.zone != home.report.zone);
-    let lose = |upstream: &Upstream| {
+    let fail_zone = |upstream: &Upstream| {
         for id in ["i-x", "i-y"] {
             upstream
                 .zone()
                 .answered(now, id, AnswerOutcome::Unreachable);
         }
     };
-    lose(home);
-    let choice = choose(pool, &wish(&service, None), now).unwrap();
+    fail_zone(home);
+    let choice = choose(pool, &requirements(&service, None), now).unwrap();
     assert_ne!(choice.upstream.report.zone, home.report.zone);
-    lose(other.unwrap());
-    let choice = choose(pool, &wish(&service, None), now).unwrap();
-    let asked = choice.upstream.report.zone.clone();
-    assert_ne!(asked, home.report.zone, "it holds the object by now");
+    fail_zone(other.unwrap());
+    let choice = choose(pool, &requirements(&service, None), now).unwrap();
+    let selected_zone = choice.upstream.report.zone.clone();
+    assert_ne!(
+        selected_zone, home.report.zone,
+        "the upstream holds the object by now"
+    );
     let fresh = self::service(6, Duration::ZERO, now);
     let upstreams = &fresh.regions["costa"].upstreams;
-    upstreams.iter().for_each(|upstream| lose(upstream));
-    let choice = choose(&fresh.regions["costa"], &wish(&fresh, None), now).unwrap();
-    assert_eq!(choice.upstream.report.id, first, "no zone is better");
+    upstreams.iter().for_each(|upstream| fail_zone(upstream));
+    let choice = choose(&fresh.regions["costa"], &requirements(&fresh, None), now).unwrap();
+    assert_eq!(
+        choice.upstream.report.id, first,
+        "all zones are suspected alike"
+    );
 }
 
 #[test]
-fn other_upstreams_coming_and_going_move_few_objects() {
+fn joining_and_leaving_upstreams_move_only_their_own_objects() {
     let now = Instant::now();
     let (all, fewer) = (
         service(10, Duration::ZERO, now),
         service(9, Duration::ZERO, now),
     );
     let home = |service: &ServicePool, object: u64| {
-        let wish = Requirements {
+        let requirements = Requirements {
             object,
-            ..wish(service, None)
+            ..requirements(service, None)
         };
-        choose(pool(service), &wish, now)
+        choose(pool(service), &requirements, now)
             .unwrap()
             .upstream
             .report
@@ -219,7 +231,7 @@
     assert_eq!(
         moved.count(),
         0,
-        "only the objects of the one that went may move"
+        "only the objects of the removed upstream may move"
     );
 }
 
@@ -227,21 +239,25 @@
 #[case::hosts_not_known(None, 0)]
 #[case::alone(Some(1), 3)]
 #[case::one_of_three(Some(3), 1)]
-fn a_cold_upstream_gets_its_part(#[case] hosts: Option<usize>, #[case] taken: usize) {
+fn cold_upstream_gets_at_most_this_hosts_share(
+    #[case] hosts: Option<usize>,
+    #[case] accepted: usize,
+) {
     let now = Instant::now();
     let service = service(1, Duration::from_secs(3), now);
     let hosts = hosts.map(|count| (1..=count).map(|n| format!("h{n}")).collect::<Vec<_>>());
-    let wish = wish(&service, hosts.as_deref());
-    let sent = (0..10).filter(|_| choose(pool(&service), &wish, now).is_ok());
-    assert_eq!(sent.count(), taken);
+    let requirements = requirements(&service, hosts.as_deref());
+    let sent = (0..10).filter(|_| choose(pool(&service), &requirements, now).is_ok());
+    assert_eq!(sent.count(), accepted);
     let warm = now + Duration::from_secs(4);
-    assert!(choose(pool(&service), &wish, warm).is_ok());
+    assert!(choose(pool(&service), &requirements, warm).is_ok());
 }
 
-/// One host of 98 has a request in flight at an object's home, by chance. Its sample alone
-/// would stand for 97 others; other upstreams' reports tell that little is to do.
+/// One host of 98 happens to have a request in flight at an object's home. Extrapolated to
+/// 97 other hosts, this sample alone would fill the home; reports of other upstreams show
+/// that the load is low.
 #[test]
-fn one_host_of_many_does_not_take_a_home_for_full_by_its_own_request() {
+fn single_own_request_does_not_make_a_home_look_full() {
     let now = Instant::now();
     let service = service(5, Duration::ZERO, now);
     let (first, _) = homes(5, now);
@@ -255,37 +271,40 @@
     home.state().sent_objects.sent(now, 42);
     let hosts: Vec<String> = (1..=98).map(|n| format!("h{n}")).collect();
     let soon = now + Duration::from_millis(600);
-    let choice = choose(pool(&service), &wish(&service, Some(&hosts)), soon).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, Some(&hosts)), soon).unwrap();
     assert_eq!(choice.upstream.report.id, first, "{:?}", choice.expectation);
     assert!(choice.load < f64::from(SLOTS), "{}", choice.load);
 }
 
 #[test]
-fn a_pool_is_used_as_its_upstreams_are() {
+fn pool_utilization_is_that_of_its_upstreams() {
     let now = Instant::now();
     let service = service(4, Duration::ZERO, now);
     for upstream in &pool(&service).upstreams {
         upstream.load_reported(now, 1, 0);
     }
-    let used = pool(&service).utilization(now, 98, None);
-    assert!((used - 1.0 / f64::from(SLOTS)).abs() < 0.01, "{used}");
+    let utilization = pool(&service).utilization(now, 98, None);
+    assert!(
+        (utilization - 1.0 / f64::from(SLOTS)).abs() < 0.01,
+        "{utilization}"
+    );
     let lost = &pool(&service).upstreams[0];
     lost.state().answered(now, AnswerOutcome::Unreachable);
-    let used = pool(&service).utilization(now, 98, None);
+    let utilization = pool(&service).utilization(now, 98, None);
     assert!(
-        (used - 0.5).abs() < 0.01,
-        "an unusable one counts as full: {used}"
+        (utilization - 0.5).abs() < 0.01,
+        "an unusable upstream counts as full: {utilization}"
     );
 }
 
 #[test]
-fn an_upstream_that_falls_silent_gets_no_more() {
+fn silent_upstream_gets_no_more_requests() {
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let (first, second) = homes(2, now);
     member(&service, &first).state().request_sent(now);
     let later = now + Duration::from_secs(2);
-    let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), later).unwrap();
     assert_eq!(choice.upstream.report.id, second);
 }
 
@@ -293,7 +312,7 @@
 #[rstest]
 #[case::still_fetching(3, 0)]
 #[case::half_as_long_again(4, 1)]
-fn long_work_is_no_silence(#[case] silent_s: u64, #[case] rank: usize) {
+fn long_work_does_not_count_as_silence(#[case] silent_s: u64, #[case] rank: usize) {
     let now = Instant::now();
     let service = service(2, Duration::ZERO, now);
     let (first, _) = homes(2, now);
@@ -302,6 +321,6 @@
     home.note_expected_work(Duration::from_millis(2_200));
     drop(home);
     let later = now + Duration::from_secs(silent_s);
-    let choice = choose(pool(&service), &wish(&service, None), later).unwrap();
+    let choice = choose(pool(&service), &requirements(&service, None), later).unwrap();
     assert_eq!(choice.rank, rank);
 }
--- a/crates/steering/tests/route_world/mod.rs
+++ b/crates/steering/tests/route_world/mod.rs
@@ -1,4 +1,5 @@
-//! Services of some upstreams in one region, and requests to them.
+//! Helpers for tests of the selection: services with some upstreams in one region, and
+//! requests to them.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -25,7 +26,7 @@
     }
 }
 
-/// A service of so many upstreams in one region.
+/// Creates a service with `count` upstreams in one region.
 pub fn service(count: usize, cold_for: Duration, now: Instant) -> ServicePool {
     let mut catalog = Catalog::default();
     let records = (0..count).map(|number| Record::Upstream(report(number, cold_for)));
@@ -58,10 +59,10 @@
     pools.remove("s1").unwrap()
 }
 
-/// The goal of all requests here.
+/// Latency goal of all requests.
 pub const GOAL: Duration = Duration::from_millis(400);
 
-pub fn wish<'a>(service: &'a ServicePool, hosts: Option<&'a [String]>) -> Requirements<'a> {
+pub fn requirements<'a>(service: &'a ServicePool, hosts: Option<&'a [String]>) -> Requirements<'a> {
     Requirements {
         object: 42,
         by_object: true,
@@ -72,7 +73,7 @@
         estimate: Box::leak(Box::new(Estimate::new(GOAL))),
         elapsed: Duration::ZERO,
         terms: service.terms.as_ref(),
-        cold_limit_per_s: &|bears| bears,
+        cold_limit_per_s: &|limit_per_s| limit_per_s,
         this_host: "h1",
         region_hosts: hosts,
     }
@@ -86,35 +87,35 @@
     let mut upstreams = pool(service).upstreams.iter();
     upstreams
         .find(|upstream| upstream.report.id == id)
-        .expect("it is a member")
+        .expect("the upstream is a member")
 }
 
 pub fn load(service: &ServicePool, id: &str, requests: u32, now: Instant) {
     member(service, id).state().load_reported(now, requests, 0);
 }
 
-/// Chooses for a request that is sent then.
+/// Selects an upstream and counts the request as sent.
 pub fn choose(
     pool: &RegionPool,
-    wish: &Requirements<'_>,
+    requirements: &Requirements<'_>,
     now: Instant,
 ) -> Result<Choice, Unavailable> {
-    let choice = steering::route::choose(pool, wish, now)?;
-    choice.note_sent(now, wish.by_object.then_some(wish.object));
+    let choice = steering::route::choose(pool, requirements, now)?;
+    choice.note_sent(now, requirements.by_object.then_some(requirements.object));
     Ok(choice)
 }
 
-/// The object's first and second home among so many upstreams. They are of their own, so
-/// that nothing is sent to those of a test.
+/// Returns the first and second home of the object 42 among `count` upstreams. Uses a
+/// separate service, so that nothing is sent to the upstreams of the test.
 pub fn homes(count: usize, now: Instant) -> (String, String) {
     let service = &service(count, Duration::ZERO, now);
-    let first = choose(pool(service), &wish(service, None), now).unwrap();
+    let first = choose(pool(service), &requirements(service, None), now).unwrap();
     let first = first.upstream.report.id.clone();
-    let tried = [first.clone()];
-    let rest = Requirements {
-        excluded: &tried,
-        ..wish(service, None)
+    let excluded = [first.clone()];
+    let without_first = Requirements {
+        excluded: &excluded,
+        ..requirements(service, None)
     };
-    let second = choose(pool(service), &rest, now).unwrap();
+    let second = choose(pool(service), &without_first, now).unwrap();
     (first, second.upstream.report.id.clone())
 }
