--- a/crates/steering/tests/route_belief_age.rs
+++ b/crates/steering/tests/route_belief_age.rs
@@ -1,5 +1,6 @@
-//! How old beliefs become while hosts that tell others have faults. No host without trouble may
-//! act on a belief that is older than its bound, however many hosts the news passed.
+//! Simulates the age of the known state while hosts that forward updates have faults. A
+//! host without faults must never act on a state older than its bound, however many hosts
+//! the updates passed.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,87 +13,87 @@
 use steering::route::{PollSchedule, UpdateKind};
 
 const FEED: &str = "upstreams";
-const LASTS: Duration = Duration::from_secs(60);
-/// A request whose upstream was chosen just before, on a new connection.
+const DURATION: Duration = Duration::from_secs(60);
+/// Duration of a request whose upstream was selected just before, on a new connection.
 const IN_FLIGHT: Duration = ms(200);
-/// Longest wait for a message's reply.
+/// Longest wait for the reply to a message.
 const CALL_LIMIT: Duration = ms(900);
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn up_to(most: Duration, rng: &mut StdRng) -> Duration {
+fn random_up_to(most: Duration, rng: &mut StdRng) -> Duration {
     rng.random_range(Duration::ZERO..=most)
 }
 
-/// What is wrong with a host.
+/// Fault of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// Nothing: what is asserted holds for it.
+    /// No fault; the assertion holds for this host.
     None,
-    /// It stands still for seconds, and what it had sent comes late.
-    Freezes,
-    /// Its links lose packets.
-    LosesPackets,
-    /// It is killed, and starts again.
-    Restarts,
+    /// The host freezes for seconds, and the messages that it sent arrive late.
+    Frozen,
+    /// The host's links lose packets.
+    PacketLoss,
+    /// The host is killed and restarts.
+    Restart,
 }
 
 struct Host {
-    lead: PollSchedule,
+    schedule: PollSchedule,
     fault: Fault,
-    /// When what it knows was true in the store; none where it knows nothing.
-    truth: Option<Duration>,
-    /// Until when it does nothing.
-    still_until: Duration,
-    /// Until when a message to each of the others is under way.
+    /// Time at which the host's state was current in the store; `None` if it has none.
+    state_time: Option<Duration>,
+    /// End of the current freeze or restart.
+    frozen_until: Duration,
+    /// For each other host, the time until which a message to it is in flight.
     busy_until: Vec<Duration>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A host looks whether it has to ask.
-    Wakes { host: usize },
+    /// A host checks whether it has to poll.
+    PollDue { host: usize },
     /// The store's answer reaches a host.
     Answered {
         host: usize,
-        truth: Duration,
-        begun: Duration,
+        state_time: Duration,
+        poll_start: Duration,
     },
-    /// A message reaches a host.
-    Told {
+    /// An update reaches a host.
+    Update {
         host: usize,
         from: usize,
-        truth: Duration,
+        state_time: Duration,
         as_of: Duration,
     },
     /// A host's fault begins.
     FaultBegins { host: usize },
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
     epoch: Instant,
     now: Duration,
     bound: Duration,
     names: Vec<String>,
     hosts: Vec<Host>,
-    /// Hosts of each group; the first is told by other groups.
+    /// Hosts of each group by rank; other groups send their updates to the first.
     groups: Vec<Vec<usize>>,
     events: BinaryHeap<Reverse<(Duration, Event)>>,
 }
 
-impl World {
-    fn new(seed: u64, groups: usize, bound: Duration) -> World {
+impl Simulation {
+    fn new(seed: u64, groups: usize, bound: Duration) -> Simulation {
         const GROUP_SIZE: usize = 5;
         let mut rng = StdRng::seed_from_u64(seed);
         let names: Vec<String> = (0..groups * GROUP_SIZE).map(|n| format!("h{n}")).collect();
         let hosts = names.iter().map(|name| Host {
-            lead: PollSchedule::new(name, FEED, bound),
+            schedule: PollSchedule::new(name, FEED, bound),
             fault: Fault::None,
-            truth: None,
-            still_until: Duration::ZERO,
+            state_time: None,
+            frozen_until: Duration::ZERO,
             busy_until: vec![Duration::ZERO; names.len()],
         });
         let mut hosts: Vec<Host> = hosts.collect();
@@ -107,12 +108,12 @@
                 .filter(move |h| group_of(*h) == group)
         };
         let groups: Vec<Vec<usize>> = (0..groups).map(|group| of_group(group).collect()).collect();
-        // Faults of the hosts that tell are the ones that reach others.
+        // The first hosts get the faults, because they forward updates to others.
         for group in &groups {
-            let kinds = [Fault::Freezes, Fault::LosesPackets, Fault::Restarts];
+            let kinds = [Fault::Frozen, Fault::PacketLoss, Fault::Restart];
             hosts[group[0]].fault = kinds[rng.random_range(0..kinds.len())];
         }
-        let mut world = World {
+        let mut simulation = Simulation {
             rng,
             epoch: Instant::now(),
             now: Duration::ZERO,
@@ -122,14 +123,14 @@
             groups,
             events: BinaryHeap::new(),
         };
-        for host in 0..world.hosts.len() {
-            let at = up_to(ms(500), &mut world.rng);
-            world.at(at, Event::Wakes { host });
-            if world.hosts[host].fault != Fault::None {
-                world.at(ms(3_000), Event::FaultBegins { host });
+        for host in 0..simulation.hosts.len() {
+            let at = random_up_to(ms(500), &mut simulation.rng);
+            simulation.at(at, Event::PollDue { host });
+            if simulation.hosts[host].fault != Fault::None {
+                simulation.at(ms(3_000), Event::FaultBegins { host });
             }
         }
-        world
+        simulation
     }
 
     fn at(&mut self, at: Duration, event: Event) {
@@ -140,72 +141,87 @@
         self.epoch + self.now
     }
 
-    /// Plays to the end; the oldest belief that a host without trouble had.
-    fn play(&mut self) -> Duration {
+    /// Runs the simulation and returns the maximum age of the state of any host without
+    /// faults.
+    fn run(&mut self) -> Duration {
         let mut oldest = Duration::ZERO;
         while let Some(Reverse((at, event))) = self.events.pop() {
-            if at > LASTS {
+            if at > DURATION {
                 break;
             }
             self.now = at;
-            let beliefs = self.hosts.iter();
-            let well = beliefs.filter(|host| host.fault == Fault::None);
-            let ages = well.filter_map(|host| host.truth.map(|truth| at.saturating_sub(truth)));
+            let hosts = self.hosts.iter();
+            let healthy = hosts.filter(|host| host.fault == Fault::None);
+            let ages = healthy.filter_map(|host| {
+                host.state_time
+                    .map(|state_time| at.saturating_sub(state_time))
+            });
             oldest = oldest.max(ages.max().unwrap_or_default());
-            self.take(event);
+            self.handle(event);
         }
         oldest
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
-        let (Event::Wakes { host }
+        let (Event::PollDue { host }
         | Event::Answered { host, .. }
-        | Event::Told { host, .. }
+        | Event::Update { host, .. }
         | Event::FaultBegins { host }) = event;
-        let still_until = self.hosts[host].still_until;
+        let frozen_until = self.hosts[host].frozen_until;
         match event {
-            // What comes to a host that stands still waits in its sockets.
-            _ if still_until > now => self.at(still_until, event),
-            Event::Wakes { host } => self.wake(host),
-            Event::Answered { host, truth, begun } => self.answered(host, truth, begun),
-            Event::Told {
+            // Messages to a frozen host wait in its sockets.
+            _ if frozen_until > now => self.at(frozen_until, event),
+            Event::PollDue { host } => self.poll(host),
+            Event::Answered {
+                host,
+                state_time,
+                poll_start,
+            } => self.answered(host, state_time, poll_start),
+            Event::Update {
                 host,
                 from,
-                truth,
+                state_time,
                 as_of,
-            } => self.told(host, from, truth, as_of),
+            } => self.receive_update(host, from, state_time, as_of),
             Event::FaultBegins { host } => self.begin_fault(host),
         }
     }
 
-    fn wake(&mut self, host: usize) {
-        let rests = self.hosts[host].lead.poll_delay(self.clock());
-        if !rests.is_zero() {
-            return self.at(self.now + rests, Event::Wakes { host });
+    fn poll(&mut self, host: usize) {
+        let poll_delay = self.hosts[host].schedule.poll_delay(self.clock());
+        if !poll_delay.is_zero() {
+            return self.at(self.now + poll_delay, Event::PollDue { host });
         }
-        let way = up_to(ms(50), &mut self.rng);
-        let back = up_to(ms(50), &mut self.rng);
-        let truth = self.now + way;
-        let begun = self.now;
-        self.at(truth + back, Event::Answered { host, truth, begun });
+        let delay = random_up_to(ms(50), &mut self.rng);
+        let back = random_up_to(ms(50), &mut self.rng);
+        let state_time = self.now + delay;
+        let poll_start = self.now;
+        self.at(
+            state_time + back,
+            Event::Answered {
+                host,
+                state_time,
+                poll_start,
+            },
+        );
     }
 
-    fn answered(&mut self, host: usize, truth: Duration, begun: Duration) {
+    fn answered(&mut self, host: usize, state_time: Duration, poll_start: Duration) {
         let clock = self.clock();
-        let as_of = self.epoch + begun;
+        let as_of = self.epoch + poll_start;
         let own = &mut self.hosts[host];
-        let tells = own.lead.forwards_updates(clock);
-        own.lead.polled(as_of);
-        own.truth = own.truth.max(Some(truth));
-        let pace = own.lead.poll_interval();
-        self.at(self.now + pace, Event::Wakes { host });
-        if tells {
+        let forwards = own.schedule.forwards_updates(clock);
+        own.schedule.polled(as_of);
+        own.state_time = own.state_time.max(Some(state_time));
+        let poll_interval = own.schedule.poll_interval();
+        self.at(self.now + poll_interval, Event::PollDue { host });
+        if forwards {
             let group = self.group(host);
-            let firsts = self.groups.iter().map(|group| group[0]);
-            let firsts = firsts.filter(|first| !group.contains(first));
-            let audience: Vec<usize> = group.iter().copied().chain(firsts).collect();
-            self.tell(host, &audience);
+            let first_hosts = self.groups.iter().map(|group| group[0]);
+            let first_hosts = first_hosts.filter(|first_host| !group.contains(first_host));
+            let receivers: Vec<usize> = group.iter().copied().chain(first_hosts).collect();
+            self.send_update(host, &receivers);
         }
     }
 
@@ -214,81 +230,84 @@
         own.cloned().unwrap_or_default()
     }
 
-    fn tell(&mut self, from: usize, audience: &[usize]) {
+    fn send_update(&mut self, from: usize, receivers: &[usize]) {
         let now = self.now;
-        let Some(truth) = self.hosts[from].truth else {
+        let Some(state_time) = self.hosts[from].state_time else {
             return;
         };
-        let age = self.hosts[from].lead.age(self.clock()).unwrap_or_default();
-        for host in audience.iter().copied().filter(|host| *host != from) {
+        let age = self.hosts[from]
+            .schedule
+            .age(self.clock())
+            .unwrap_or_default();
+        for host in receivers.iter().copied().filter(|host| *host != from) {
             if self.hosts[from].busy_until[host] > now {
                 continue;
             }
-            let way = self.way(from, host);
-            let reply = up_to(ms(50), &mut self.rng);
-            let took = (way + reply).min(CALL_LIMIT);
+            let delay = self.delay(from, host);
+            let reply = random_up_to(ms(50), &mut self.rng);
+            let took = (delay + reply).min(CALL_LIMIT);
             self.hosts[from].busy_until[host] = now + took;
-            // The listener bounds the message's way by the reply to the one before.
+            // The receiver bounds the delay of a message by the reply to the previous one.
             let as_of = now.saturating_sub(age + reply);
             self.at(
-                now + way,
-                Event::Told {
+                now + delay,
+                Event::Update {
                     host,
                     from,
-                    truth,
+                    state_time,
                     as_of,
                 },
             );
         }
     }
 
-    fn way(&mut self, from: usize, to: usize) -> Duration {
-        let loses = |host: usize| self.hosts[host].fault == Fault::LosesPackets;
+    fn delay(&mut self, from: usize, to: usize) -> Duration {
+        let loses = |host: usize| self.hosts[host].fault == Fault::PacketLoss;
         let is_lost = (loses(from) || loses(to)) && self.rng.random_ratio(1, 4);
-        up_to(if is_lost { ms(3_000) } else { ms(80) }, &mut self.rng)
+        random_up_to(if is_lost { ms(3_000) } else { ms(80) }, &mut self.rng)
     }
 
-    fn told(&mut self, host: usize, from: usize, truth: Duration, as_of: Duration) {
+    fn receive_update(&mut self, host: usize, from: usize, state_time: Duration, as_of: Duration) {
         let as_of = self.epoch + as_of;
         let own = &mut self.hosts[host];
-        let used = match own.truth {
-            Some(known) if truth <= known => UpdateKind::Known,
+        let kind = match own.state_time {
+            Some(known) if state_time <= known => UpdateKind::Known,
             _ => UpdateKind::New,
         };
-        own.lead.received_update(&self.names[from], used, as_of);
-        own.truth = own.truth.max(Some(truth));
+        own.schedule.received_update(&self.names[from], kind, as_of);
+        own.state_time = own.state_time.max(Some(state_time));
         let group = self.group(host);
         if !group.contains(&from) {
-            self.tell(host, &group);
+            self.send_update(host, &group);
         }
     }
 
     fn begin_fault(&mut self, host: usize) {
-        let lasts = up_to(ms(4_000), &mut self.rng);
-        let next = self.now + lasts + up_to(ms(6_000), &mut self.rng);
+        let lasts = random_up_to(ms(4_000), &mut self.rng);
+        let next = self.now + lasts + random_up_to(ms(6_000), &mut self.rng);
         match self.hosts[host].fault {
-            Fault::Freezes => {
-                self.hosts[host].still_until = self.now + lasts;
-                self.hold_up(host, lasts);
+            Fault::Frozen => {
+                self.hosts[host].frozen_until = self.now + lasts;
+                self.delay_messages_of(host, lasts);
             }
-            Fault::Restarts => {
+            Fault::Restart => {
                 let own = &mut self.hosts[host];
-                own.still_until = self.now + lasts;
-                own.truth = None;
-                own.lead = PollSchedule::new(&self.names[host], FEED, self.bound);
+                own.frozen_until = self.now + lasts;
+                own.state_time = None;
+                own.schedule = PollSchedule::new(&self.names[host], FEED, self.bound);
             }
-            Fault::LosesPackets | Fault::None => {}
+            Fault::PacketLoss | Fault::None => {}
         }
         self.at(next, Event::FaultBegins { host });
     }
 
-    /// Holds up some of what a host has sent: its link stands still as well.
-    fn hold_up(&mut self, sender: usize, most: Duration) {
+    /// Delays some of the messages that a host has sent, since its link freezes as well.
+    fn delay_messages_of(&mut self, sender: usize, most: Duration) {
         let events = std::mem::take(&mut self.events);
         for Reverse((at, event)) in events {
-            let is_from = matches!(event, Event::Told { from, .. } if from == sender);
+            let is_from = matches!(event, Event::Update { from, .. } if from == sender);
             let later = match is_from && self.rng.random_ratio(1, 2) {
-                true => up_to(most, &mut self.rng),
+                true => random_up_to(most, &mut self.rng),
                 false => Duration::ZERO,
             };
             self.at(at + later, event);
@@ -297,12 +316,12 @@
 }
 
 #[rstest]
-fn no_host_without_trouble_acts_on_a_belief_older_than_its_bound(
+fn host_without_faults_never_acts_on_state_older_than_its_bound(
     #[values(2_000, 2_500, 3_000, 4_000, 5_000)] bound: u64,
     #[values(1, 3)] groups: usize,
 ) {
     for seed in 1..=40 {
-        let oldest = World::new(seed, groups, ms(bound)).play();
+        let oldest = Simulation::new(seed, groups, ms(bound)).run();
         let most = ms(bound) - IN_FLIGHT;
         assert!(oldest <= most, "seed {seed}: {oldest:?} of {most:?}");
     }
--- a/crates/steering/tests/route_catalog.rs
+++ b/crates/steering/tests/route_catalog.rs
@@ -1,4 +1,4 @@
-//! Upstreams that report themselves, as one host knows them.
+//! The catalog of registered upstreams on one host.
 
 use std::time::{Duration, Instant};
 
@@ -18,15 +18,15 @@
     }
 }
 
-fn there(id: &str) -> Record {
+fn present(id: &str) -> Record {
     Record::Upstream(report(id))
 }
 
-fn gone(id: &str) -> Record {
+fn removed(id: &str) -> Record {
     Record::UpstreamGone(id.to_owned())
 }
 
-fn part(records: Vec<Record>) -> Changes {
+fn delta(records: Vec<Record>) -> Changes {
     Changes {
         whole: false,
         records,
@@ -34,10 +34,10 @@
     }
 }
 
-fn whole(records: Vec<Record>) -> Changes {
+fn snapshot(records: Vec<Record>) -> Changes {
     Changes {
         whole: true,
-        ..part(records)
+        ..delta(records)
     }
 }
 
@@ -46,69 +46,65 @@
     listed.map(|listed| listed.report.id.as_str()).collect()
 }
 
-/// Found by a hunt: a report and its end in one answer left the upstream listed, and it
-/// got work long after it had said that it leaves.
+/// Guards against work for an upstream that has left: a report and its removal in one
+/// answer of the store left the upstream listed.
 #[rstest]
-#[case::report_then_end(vec![there("a"), gone("a")], &[])]
-#[case::end_then_report(vec![gone("a"), there("a")], &["a"])]
-#[case::end_of_another(vec![there("a"), gone("b")], &["a"])]
-#[case::end_twice(vec![there("a"), gone("a"), gone("a")], &[])]
-fn takes_a_part_in_its_order(#[case] records: Vec<Record>, #[case] listed: &[&str]) {
+#[case::report_then_end(vec![present("a"), removed("a")], &[])]
+#[case::end_then_report(vec![removed("a"), present("a")], &["a"])]
+#[case::end_of_another(vec![present("a"), removed("b")], &["a"])]
+#[case::end_twice(vec![present("a"), removed("a"), removed("a")], &[])]
+fn applies_a_delta_in_order(#[case] records: Vec<Record>, #[case] listed: &[&str]) {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    catalog.apply(now, &part(vec![there("a")]));
-    catalog.apply(now, &part(records));
+    catalog.apply(now, &delta(vec![present("a")]));
+    catalog.apply(now, &delta(records));
     assert_eq!(ids(&catalog), listed);
 }
 
 #[test]
-fn what_a_whole_feed_lacks_is_gone() {
+fn reports_missing_in_a_snapshot_are_removed() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    catalog.apply(now, &part(vec![there("a"), there("b")]));
-    let taken = catalog.apply(now, &whole(vec![there("b"), there("c")]));
+    catalog.apply(now, &delta(vec![present("a"), present("b")]));
+    let changes = catalog.apply(now, &snapshot(vec![present("b"), present("c")]));
     assert_eq!(ids(&catalog), ["b", "c"]);
-    assert_eq!(taken.len(), 2, "a is gone and c is new: {taken:?}");
+    assert_eq!(changes.len(), 2, "a is removed and c is new: {changes:?}");
 }
 
 #[test]
-fn a_report_that_vanishes_around_an_outage_may_come_back() {
+fn report_that_vanishes_around_an_outage_may_come_back() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
     let later = |ms| now + Duration::from_millis(ms);
-    catalog.apply(now, &part(vec![there("a"), there("b")]));
+    catalog.apply(now, &delta(vec![present("a"), present("b")]));
     catalog.store_returned(now);
-    catalog.apply(later(100), &part(vec![gone("a"), gone("b")]));
-    assert_eq!(
-        ids(&catalog),
-        ["a", "b"],
-        "both may report themselves again"
-    );
-    catalog.apply(later(1_500), &part(vec![there("b")]));
+    catalog.apply(later(100), &delta(vec![removed("a"), removed("b")]));
+    assert_eq!(ids(&catalog), ["a", "b"], "both may register again");
+    catalog.apply(later(1_500), &delta(vec![present("b")]));
     assert!(!catalog.expire(later(2_000)));
-    assert!(catalog.expire(later(2_300)), "a has had its time");
+    assert!(catalog.expire(later(2_300)), "the grace time of a is over");
     assert_eq!(ids(&catalog), ["b"]);
-    catalog.apply(later(2_400), &part(vec![gone("b")]));
+    catalog.apply(later(2_400), &delta(vec![removed("b")]));
     assert!(ids(&catalog).is_empty(), "the outage is over");
 }
 
 #[test]
-fn an_unchanged_report_changes_nothing() {
+fn unchanged_report_changes_nothing() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    assert_eq!(catalog.apply(now, &part(vec![there("a")])).len(), 1);
-    assert!(catalog.apply(now, &part(vec![there("a")])).is_empty());
+    assert_eq!(catalog.apply(now, &delta(vec![present("a")])).len(), 1);
+    assert!(catalog.apply(now, &delta(vec![present("a")])).is_empty());
     let draining = ReportedUpstream {
         draining: true,
         ..report("a")
     };
-    let taken = catalog.apply(now, &part(vec![Record::Upstream(draining)]));
-    assert_eq!(taken.len(), 1);
+    let changes = catalog.apply(now, &delta(vec![Record::Upstream(draining)]));
+    assert_eq!(changes.len(), 1);
 }
 
-/// What a host that asks tells one that listens.
-fn told(teller: &mut Catalog, now: Instant, records: Vec<Record>) -> Vec<Record> {
-    let changes = teller.apply(now, &part(records));
+/// Applies records at the poller and returns the update for other hosts.
+fn update_from(poller: &mut Catalog, now: Instant, records: Vec<Record>) -> Vec<Record> {
+    let changes = poller.apply(now, &delta(records));
     changes.iter().map(Record::from).collect()
 }
 
@@ -120,61 +116,61 @@
 #[case::missed_that_one_drains(&[4], false)]
 #[case::missed_a_coming_and_going(&[5, 6], true)]
 #[case::missed_a_going(&[6], false)]
-fn a_digest_shows_what_is_missing(#[case] missed: &[usize], #[case] same: bool) {
+fn digest_shows_missing_changes(#[case] missed_deltas: &[usize], #[case] same: bool) {
     let now = Instant::now();
     let draining = Record::Upstream(ReportedUpstream {
         draining: true,
         ..report("a")
     });
-    let parts = [
-        vec![there("a"), there("b")],
-        vec![there("a"), there("b")],
-        vec![there("c"), there("a")],
-        vec![gone("b")],
+    let deltas = [
+        vec![present("a"), present("b")],
+        vec![present("a"), present("b")],
+        vec![present("c"), present("a")],
+        vec![removed("b")],
         vec![draining],
-        vec![there("d")],
-        vec![gone("d")],
+        vec![present("d")],
+        vec![removed("d")],
     ];
-    let (mut teller, mut listener) = (Catalog::default(), Catalog::default());
-    for (place, records) in parts.into_iter().enumerate() {
-        let news = told(&mut teller, now, records);
-        assert_eq!(news.is_empty(), place == 1, "only what has changed is told");
-        if !missed.contains(&place) {
-            listener.apply(now, &part(news));
+    let (mut poller, mut receiver) = (Catalog::default(), Catalog::default());
+    for (index, records) in deltas.into_iter().enumerate() {
+        let update = update_from(&mut poller, now, records);
+        assert_eq!(update.is_empty(), index == 1, "only changes are forwarded");
+        if !missed_deltas.contains(&index) {
+            receiver.apply(now, &delta(update));
         }
     }
-    assert_eq!(listener.digest() == teller.digest(), same);
+    assert_eq!(receiver.digest() == poller.digest(), same);
 }
 
 #[test]
-fn a_report_that_came_back_in_time_is_told() {
+fn report_that_came_back_in_time_is_forwarded() {
     let now = Instant::now();
     let later = |ms| now + Duration::from_millis(ms);
-    let (mut teller, mut listener) = (Catalog::default(), Catalog::default());
-    for catalog in [&mut teller, &mut listener] {
-        catalog.apply(now, &part(vec![there("a"), there("b")]));
+    let (mut poller, mut receiver) = (Catalog::default(), Catalog::default());
+    for catalog in [&mut poller, &mut receiver] {
+        catalog.apply(now, &delta(vec![present("a"), present("b")]));
         catalog.store_returned(now);
     }
-    let news = told(&mut teller, later(100), vec![gone("a"), gone("b")]);
-    listener.apply(later(100), &part(news));
-    let news = told(&mut teller, later(1_000), vec![there("b")]);
-    listener.apply(later(1_000), &part(news));
-    assert_eq!(listener.digest(), teller.digest());
-    for catalog in [&mut teller, &mut listener] {
+    let update = update_from(&mut poller, later(100), vec![removed("a"), removed("b")]);
+    receiver.apply(later(100), &delta(update));
+    let update = update_from(&mut poller, later(1_000), vec![present("b")]);
+    receiver.apply(later(1_000), &delta(update));
+    assert_eq!(receiver.digest(), poller.digest());
+    for catalog in [&mut poller, &mut receiver] {
         catalog.expire(later(2_300));
         assert_eq!(ids(catalog), ["b"]);
     }
 }
 
-/// Reports in between may be missed while the store is away.
+/// Reports may be missed while the store is unavailable.
 #[rstest]
 #[case::same_warm_up(2_500, 500, 0)]
 #[case::again(4_000, 3_000, 1)]
 #[case::again_before_its_end(2_000, 3_000, 1)]
-fn a_warm_up_that_begins_again_is_seen(
+fn restarted_warm_up_is_detected(
     #[case] after_ms: u64,
     #[case] left_ms: u64,
-    #[case] changes: usize,
+    #[case] expected_changes: usize,
 ) {
     let now = Instant::now();
     let cold = |left_ms| {
@@ -185,13 +181,13 @@
         })
     };
     let mut catalog = Catalog::default();
-    catalog.apply(now, &part(vec![cold(3_000)]));
+    catalog.apply(now, &delta(vec![cold(3_000)]));
     let later = now + Duration::from_millis(after_ms);
-    let taken = catalog.apply(later, &part(vec![cold(left_ms)]));
-    assert_eq!(taken.len(), changes);
+    let changes = catalog.apply(later, &delta(vec![cold(left_ms)]));
+    assert_eq!(changes.len(), expected_changes);
 }
 
-fn born(id: &str, born_ms: u64) -> Record {
+fn started(id: &str, born_ms: u64) -> Record {
     Record::Upstream(ReportedUpstream {
         started_ms: Some(born_ms),
         ..report(id)
@@ -199,36 +195,42 @@
 }
 
 #[test]
-fn a_later_start_replaces_an_earlier_one_and_is_not_replaced_by_it() {
+fn later_start_replaces_an_earlier_one_but_not_vice_versa() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 100)])).len(), 1);
-    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 200)])).len(), 1);
+    assert_eq!(
+        catalog.apply(now, &delta(vec![started("i-1", 100)])).len(),
+        1
+    );
+    assert_eq!(
+        catalog.apply(now, &delta(vec![started("i-1", 200)])).len(),
+        1
+    );
     let digest = catalog.digest();
-    assert_eq!(catalog.apply(now, &part(vec![born("i-1", 100)])), []);
+    assert_eq!(catalog.apply(now, &delta(vec![started("i-1", 100)])), []);
     assert_eq!(catalog.digest(), digest);
     let listed: Vec<_> = catalog.listed().map(|l| l.report.started_ms).collect();
     assert_eq!(listed, [Some(200)]);
 }
 
 #[test]
-fn a_report_that_turns_bad_takes_its_upstream_out_at_once() {
+fn invalid_report_removes_its_upstream_at_once() {
     let mut catalog = Catalog::default();
     let now = Instant::now();
-    // Also shortly after an outage, when reports that vanish are waited for.
+    // This also holds shortly after an outage, while vanished reports are kept.
     catalog.store_returned(now);
-    catalog.apply(now, &part(vec![there("i-1"), there("i-2")]));
+    catalog.apply(now, &delta(vec![present("i-1"), present("i-2")]));
     let bad = Record::Unusable {
         key: "i-1".to_owned(),
         reason: "no JSON".to_owned(),
     };
-    let gone = CatalogChange::Removed {
+    let removed = CatalogChange::Removed {
         id: "i-1".to_owned(),
         at_once: true,
     };
-    assert_eq!(catalog.apply(now, &part(vec![bad.clone()])), [gone]);
+    assert_eq!(catalog.apply(now, &delta(vec![bad.clone()])), [removed]);
     let listed: Vec<_> = catalog.listed().map(|l| l.report.id.as_str()).collect();
     assert_eq!(listed, ["i-2"]);
-    assert_eq!(catalog.apply(now, &part(vec![bad])), []);
-    assert_eq!(catalog.apply(now, &part(vec![there("i-1")])).len(), 1);
+    assert_eq!(catalog.apply(now, &delta(vec![bad])), []);
+    assert_eq!(catalog.apply(now, &delta(vec![present("i-1")])).len(), 1);
 }
--- a/crates/steering/tests/route_news_timing.rs
+++ b/crates/steering/tests/route_news_timing.rs
@@ -1,4 +1,4 @@
-//! The waits on each way of news, added up: no sum may pass the bound that it answers to.
+//! Adds up the delays on each path of an update: no sum may exceed its bound.
 
 use std::time::Duration;
 
@@ -11,90 +11,94 @@
     Duration::from_millis(ms)
 }
 
-/// A message and its answer, between the two regions that are farthest apart (70 ms), on a
-/// slow core.
+/// A message and its answer between the two most distant regions (70 ms), on a slow core.
 const HOP: Duration = ms(100);
-/// A question to the store on a slow core, where many reports have changed.
-const SLOW_QUESTION: Duration = ms(500);
-/// A request whose upstream was chosen just before, on a new connection.
+/// A poll of the store on a slow core, with many changed reports.
+const SLOW_POLL: Duration = ms(500);
+/// Duration of a request whose upstream was selected just before, on a new connection.
 const IN_FLIGHT: Duration = ms(200);
-/// A whole read of the store: three pages.
-const WHOLE_READ: Duration = ms(300);
+/// A complete read of the store: three pages.
+const FULL_READ: Duration = ms(300);
 
 /// Bounds of a deployment.
 #[derive(Debug, Clone, Copy)]
-struct Terms {
-    news: FeedTiming,
+struct Bounds {
+    timing: FeedTiming,
     contact: Duration,
 }
 
-/// A way of news, the fault that forces it, and the longest time that it takes.
-type Way = (&'static str, fn(Terms) -> Duration);
+/// A path of an update with the fault that forces it, and the longest time that it takes.
+type UpdatePath = (&'static str, fn(Bounds) -> Duration);
 
-/// From the store's acknowledgement to the last request that is sent on the old belief.
-const WAYS: &[Way] = &[
-    ("no fault: leader, first of a group, listener", |t| {
-        t.news.poll_interval() + HOP * 3 + IN_FLIGHT
+/// From the store's acknowledgement to the last request that is sent by the old state.
+const UPDATE_PATHS: &[UpdatePath] = &[
+    ("no fault: poller, first of a group, receiver", |t| {
+        t.timing.poll_interval() + HOP * 3 + IN_FLIGHT
     }),
-    ("the listener is busy with an earlier message", |t| {
-        t.news.poll_interval() + HOP * 4 + IN_FLIGHT
+    ("the receiver is busy with an earlier message", |t| {
+        t.timing.poll_interval() + HOP * 4 + IN_FLIGHT
     }),
-    ("too large for a message: the listener asks for it", |t| {
-        t.news.poll_interval() + HOP * 5 + IN_FLIGHT
+    ("too large for a message: the receiver requests it", |t| {
+        t.timing.poll_interval() + HOP * 5 + IN_FLIGHT
     }),
     (
-        "the same, from a teller that has ended; the store is asked",
-        |t| t.news.poll_interval() + HOP * 3 + HOST_ANSWER_LIMIT + HOP + IN_FLIGHT,
+        "the same, from a sender that has terminated; the store is polled",
+        |t| t.timing.poll_interval() + HOP * 3 + HOST_ANSWER_LIMIT + HOP + IN_FLIGHT,
     ),
     (
-        "any number of hops and late messages: the listener asks for itself",
-        |t| t.news.stale_after() + SLOW_QUESTION + IN_FLIGHT,
+        "any number of hops and late messages: the receiver polls itself",
+        |t| t.timing.stale_after() + SLOW_POLL + IN_FLIGHT,
     ),
-    ("the leader ends right after a message", |t| {
-        HOP * 3 + t.news.stale_after() + HOP + IN_FLIGHT
+    ("the poller terminates right after a message", |t| {
+        HOP * 3 + t.timing.stale_after() + HOP + IN_FLIGHT
     }),
     (
-        "the leader ends, and the store turns the listener away",
-        |t| HOP * 3 + t.news.stale_after() + HOP * 2 + IN_FLIGHT,
+        "the poller terminates, and the store rejects the receiver",
+        |t| HOP * 3 + t.timing.stale_after() + HOP * 2 + IN_FLIGHT,
     ),
-    ("the store forgets its history in the leader's pause", |t| {
-        t.news.poll_interval() + HOP + WHOLE_READ + HOP * 2 + IN_FLIGHT
+    ("the store drops its history between two polls", |t| {
+        t.timing.poll_interval() + HOP + FULL_READ + HOP * 2 + IN_FLIGHT
     }),
 ];
 
-/// From the end of a cut to the last request that is sent on a belief from before it.
-const RETURNS: &[Way] = &[
+/// From the end of a network cut to the last request that is sent by the state from before
+/// the cut.
+const RECOVERY_PATHS: &[UpdatePath] = &[
     (
-        "a call was begun just before the end, a pause follows",
+        "a call was in progress at the end of the cut, a pause follows",
         |t| STORE_CALL_LIMIT + max_retry_pause(t.contact) + HOP + IN_FLIGHT,
     ),
     ("the same, and its first answer comes slowly", |t| {
-        STORE_CALL_LIMIT + max_retry_pause(t.contact) + SLOW_QUESTION + IN_FLIGHT
+        STORE_CALL_LIMIT + max_retry_pause(t.contact) + SLOW_POLL + IN_FLIGHT
     }),
-    ("others tell, over a new session", |t| {
-        t.news.poll_interval() + t.news.poll_wait() + HOP * 4 + IN_FLIGHT
-    }),
-    // What vanishes from then on counts, and is not waited for any more.
-    ("the store was away, and reports may have lapsed", |t| {
-        STORE_CALL_LIMIT + max_retry_pause(t.contact) + HOP + LAPSE_PROPAGATION_LIMIT
+    ("other hosts send updates over a new session", |t| {
+        t.timing.poll_interval() + t.timing.poll_wait() + HOP * 4 + IN_FLIGHT
     }),
+    // Reports that vanish later are removed at once.
+    (
+        "the store was unavailable, and reports may have expired",
+        |t| STORE_CALL_LIMIT + max_retry_pause(t.contact) + HOP + LAPSE_PROPAGATION_LIMIT,
+    ),
 ];
 
 #[rstest]
-fn no_way_of_news_takes_longer_than_they_may(
+fn no_update_path_exceeds_its_bound(
     #[values((2_000, 3_000), (2_500, 4_000), (3_000, 4_000), (4_000, 4_000))] bounds: (u64, u64),
 ) {
-    let (tightest, contact) = (ms(bounds.0), ms(bounds.1));
-    let news = FeedTiming {
-        tightest_bound: tightest,
+    let (tightest_bound, contact) = (ms(bounds.0), ms(bounds.1));
+    let timing = FeedTiming {
+        tightest_bound: tightest_bound,
     };
-    let terms = Terms { news, contact };
-    for (way, takes) in WAYS {
-        let takes = takes(terms);
-        assert!(takes <= tightest, "{way}: {takes:?} of {tightest:?}");
+    let bounds_of_deployment = Bounds { timing, contact };
+    for (path, duration) in UPDATE_PATHS {
+        let duration = duration(bounds_of_deployment);
+        assert!(
+            duration <= tightest_bound,
+            "{path}: {duration:?} of {tightest_bound:?}"
+        );
     }
-    for (way, takes) in RETURNS {
-        let takes = takes(terms);
-        assert!(takes <= contact, "{way}: {takes:?} of {contact:?}");
+    for (path, duration) in RECOVERY_PATHS {
+        let duration = duration(bounds_of_deployment);
+        assert!(duration <= contact, "{path}: {duration:?} of {contact:?}");
     }
 }
