--- a/crates/steering/tests/route_document.rs
+++ b/crates/steering/tests/route_document.rs
@@ -1,4 +1,4 @@
-//! What one document changes in another.
+//! Differences between two versions of the document.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Routes stand in no order.
+/// Sorts the routes, whose order is not defined.
 fn sorted(mut document: RouteDocument) -> RouteDocument {
     document.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
     document
@@ -62,7 +62,7 @@
 #[case::moved(&[("/a/", "s2")])]
 #[case::replaced(&[("/b/", "s1")])]
 #[case::emptied(&[])]
-fn a_change_leads_to_the_newer_document(#[case] routes: &[(&str, &str)]) {
+fn change_produces_the_newer_document(#[case] routes: &[(&str, &str)]) {
     let base = document(3, &[("/a/", "s1")]);
     let newer = document(8, routes);
     let change = DocumentChange::between(&base, &newer);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn limits_and_terms_change_too() {
+fn limits_and_service_settings_change() {
     let base = document(3, &[("/a/", "s1")]);
     let mut newer = document(4, &[("/a/", "s1")]);
     newer.limits.body_bytes += 1;
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn a_change_of_another_document_is_of_no_use() {
+fn change_does_not_apply_to_another_version() {
     let change = DocumentChange::between(&document(3, &[]), &document(4, &[]));
     assert_eq!(change.apply(&document(2, &[])), None);
     assert_eq!(change.apply(&document(4, &[])), None);
 }
 
 #[test]
-fn a_change_is_as_large_as_what_it_changes() {
+fn size_of_a_change_depends_on_what_changes() {
     let prefixes: Vec<String> = (0..MANY).map(|n| format!("/r{n}/")).collect();
     let routes: Vec<(&str, &str)> = prefixes.iter().map(|p| (p.as_str(), "s1")).collect();
     let base = document(1, &routes);
@@ -119,7 +119,7 @@
 #[case::moved(&[("c1", "k2"), ("c2", "k1")])]
 #[case::dropped(&[("c2", "k2")])]
 #[case::emptied(&[])]
-fn a_change_of_customers_leads_to_the_newer_document(#[case] customers: &[(&str, &str)]) {
+fn change_of_customers_produces_the_newer_document(#[case] customers: &[(&str, &str)]) {
     let with = |version, customers: &[(&str, &str)]| RouteDocument {
         customers: customers
             .iter()
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_change_of_one_customer_is_small_however_many_there_are() {
+fn change_of_one_of_many_customers_is_small() {
     let many = |version, priority| {
         let customers = (0..MANY).map(|i| customer(&format!("c{i:05}"), &format!("k{i}"), None));
         let mut customers: Vec<Customer> = customers.collect();
--- a/crates/steering/tests/route_pace.rs
+++ b/crates/steering/tests/route_pace.rs
@@ -1,4 +1,4 @@
-//! This host's parts of shared bounds.
+//! This host's shares of limits that all hosts share.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -8,21 +8,22 @@
 use rstest::rstest;
 use steering::route::{CallerAttempt, CallerTimeouts, ColdSends, RetryShare, cold_share};
 
-/// Sends as many as every host's part allows for 10 s, one try each millisecond, and
-/// gives the most that arrive in any second, each up to `late_ms` late.
-fn most_in_a_second(hosts: usize, bound: f64, late_ms: u64) -> usize {
-    let begun = Instant::now();
+/// Sends as much as every host's share allows for 10 s, with one attempt per millisecond,
+/// and returns the largest number that arrives within any second. Each request arrives up
+/// to `late_ms` late.
+fn max_per_second(hosts: usize, limit_per_s: f64, late_ms: u64) -> usize {
+    let start = Instant::now();
     let mut arrivals = Vec::new();
     let names: Vec<String> = (0..hosts).map(|host| format!("host-{host}")).collect();
     for (host, name) in names.iter().enumerate() {
-        let mut part = ColdSends::default();
-        let share = cold_share(bound, "upstream-1", name, Some(&names));
+        let mut sends = ColdSends::default();
+        let share = cold_share(limit_per_s, "upstream-1", name, Some(&names));
         for ms in 0..10_000u64 {
-            let now = begun + Duration::from_millis(ms);
-            if part.has_room(now, share) {
-                part.take(now);
-                let late = (host as u64 * 31 + ms * 17) % (late_ms + 1);
-                arrivals.push(ms + late);
+            let now = start + Duration::from_millis(ms);
+            if sends.has_room(now, share) {
+                sends.take(now);
+                let delay_ms = (host as u64 * 31 + ms * 17) % (late_ms + 1);
+                arrivals.push(ms + delay_ms);
             }
         }
     }
@@ -44,20 +45,20 @@
 #[case::alone(1, 26.0)]
 #[case::one_each(10, 12.0)]
 #[case::aim_of_a_zone(42, 10.0)]
-fn parts_never_sum_to_more_than_the_bound(#[case] hosts: usize, #[case] bound: f64) {
-    let most = most_in_a_second(hosts, bound, 90);
-    assert!(most as f64 <= bound, "{most} of {bound}");
-    assert!(most > 0, "nothing could be sent at all");
+fn shares_never_sum_to_more_than_the_limit(#[case] hosts: usize, #[case] limit_per_s: f64) {
+    let max = max_per_second(hosts, limit_per_s, 90);
+    assert!(max as f64 <= limit_per_s, "{max} of {limit_per_s}");
+    assert!(max > 0, "no request could be sent");
 }
 
-/// Found by a hunt: after a restart of all hosts each took the whole bound, since none
-/// knew of the others yet.
+/// Guards against an excess of the limit after a restart of all hosts: none knew the others
+/// yet, so each used the whole limit.
 #[test]
-fn no_part_while_the_hosts_are_not_known() {
+fn share_is_zero_while_the_hosts_are_unknown() {
     let now = Instant::now();
     assert_eq!(cold_share(26.0, "upstream-1", "host-1", None), 0);
-    let mut repeats = RetryShare::new(0.2, 58.0, Duration::from_secs(10));
-    assert!(!repeats.take_retry(now, None, CallerAttempt::First));
+    let mut retries = RetryShare::new(0.2, 58.0, Duration::from_secs(10));
+    assert!(!retries.take_retry(now, None, CallerAttempt::First));
 }
 
 #[rstest]
@@ -66,99 +67,102 @@
 #[case::no_spare(100, 0.0, 9, 17)]
 #[case::too_few(4, 0.0, 9, 0)]
 #[case::many_hosts(10, 200.0, 80, 3)]
-fn repeats_stay_in_their_part(
-    #[case] firsts: usize,
-    #[case] spare: f64,
+fn retries_stay_within_their_share(
+    #[case] requests: usize,
+    #[case] slack: f64,
     #[case] hosts: usize,
-    #[case] repeats: usize,
+    #[case] retries: usize,
 ) {
     let now = Instant::now();
-    let mut part = RetryShare::new(0.2, spare, Duration::from_secs(10));
-    for _ in 0..firsts {
-        part.request(now);
+    let mut share = RetryShare::new(0.2, slack, Duration::from_secs(10));
+    for _ in 0..requests {
+        share.request(now);
     }
-    let taken = (0..1_000)
-        .filter(|_| part.take_retry(now, Some(hosts), CallerAttempt::First))
+    let granted = (0..1_000)
+        .filter(|_| share.take_retry(now, Some(hosts), CallerAttempt::First))
         .count();
-    assert_eq!(taken, repeats);
+    assert_eq!(granted, retries);
     let later = now + Duration::from_secs(11);
     assert_eq!(
-        part.take_retry(later, Some(hosts), CallerAttempt::First),
-        spare / hosts as f64 * 0.85 >= 1.0
+        share.take_retry(later, Some(hosts), CallerAttempt::First),
+        slack / hosts as f64 * 0.85 >= 1.0
     );
 }
 
-/// Of a thousand callers a second, those that stay unserved while upstreams refuse `refused`
-/// of all that they get, by chance. A caller that is refused comes back once, half a second
-/// later. `known` says whether the host can tell that.
+/// Returns the share of callers that stay unserved, of a thousand callers per second, while
+/// upstreams refuse requests with probability `refused`. A refused caller comes back once,
+/// half a second later. `known` says whether the host can tell returning callers.
 fn unserved(refused: f64, known: bool) -> f64 {
     const CALLERS: u64 = 20_000;
-    let begun = Instant::now();
-    let mut chance = StdRng::seed_from_u64(7);
-    let mut part = RetryShare::new(0.2, 0.0, Duration::from_secs(10));
-    let mut returns: VecDeque<Instant> = VecDeque::new();
-    let mut lost = 0;
+    let start = Instant::now();
+    let mut rng = StdRng::seed_from_u64(7);
+    let mut share = RetryShare::new(0.2, 0.0, Duration::from_secs(10));
+    let mut returning_at: VecDeque<Instant> = VecDeque::new();
+    let mut unserved_callers = 0;
     for ms in 0..CALLERS + 1_000 {
-        let now = begun + Duration::from_millis(ms);
-        let back = returns.front().is_some_and(|at| *at <= now);
-        let back = back
-            .then(|| returns.pop_front())
+        let now = start + Duration::from_millis(ms);
+        let returning = returning_at.front().is_some_and(|at| *at <= now);
+        let returning = returning
+            .then(|| returning_at.pop_front())
             .flatten()
             .map(|_| CallerAttempt::Later);
-        let new = (ms < CALLERS).then_some(CallerAttempt::First);
-        for came in [back, new].into_iter().flatten() {
-            part.request(now);
-            let told = if known { came } else { CallerAttempt::First };
-            let mut is_served = !chance.random_bool(refused);
-            if !is_served && part.take_retry(now, Some(1), told) {
-                is_served = !chance.random_bool(refused);
+        let first = (ms < CALLERS).then_some(CallerAttempt::First);
+        for attempt in [returning, first].into_iter().flatten() {
+            share.request(now);
+            let reported = if known { attempt } else { CallerAttempt::First };
+            let mut is_served = !rng.random_bool(refused);
+            if !is_served && share.take_retry(now, Some(1), reported) {
+                is_served = !rng.random_bool(refused);
             }
-            match came {
+            match attempt {
                 _ if is_served => {}
-                CallerAttempt::First => returns.push_back(now + Duration::from_millis(500)),
-                CallerAttempt::Later => lost += 1,
+                CallerAttempt::First => returning_at.push_back(now + Duration::from_millis(500)),
+                CallerAttempt::Later => unserved_callers += 1,
             }
         }
     }
-    f64::from(lost) / CALLERS as f64
+    f64::from(unserved_callers) / CALLERS as f64
 }
 
-/// While the budget is scarce fewer callers stay unserved; else nothing changes.
+/// While retries are scarce, fewer callers stay unserved; otherwise nothing changes.
 #[rstest]
 #[case::few_refused(0.1, 0.0, 0.0)]
 #[case::budget_just_enough(0.15, 0.001, 0.001)]
 #[case::a_third(0.35, 0.057, 0.034)]
 #[case::more_than_half(0.55, 0.218, 0.179)]
-fn callers_that_came_before_are_repeated_first(
+fn returning_callers_are_retried_first(
     #[case] refused: f64,
-    #[case] before: f64,
-    #[case] now: f64,
+    #[case] expected_unknown: f64,
+    #[case] expected_known: f64,
 ) {
     let (unknown, known) = (unserved(refused, false), unserved(refused, true));
-    assert!((unknown - before).abs() < 0.005, "{unknown} as before");
-    assert!((known - now).abs() < 0.005, "{known}");
-    assert!(known < unknown + 0.005, "{known}, {unknown} before");
+    assert!(
+        (unknown - expected_unknown).abs() < 0.005,
+        "{unknown} if unknown"
+    );
+    assert!((known - expected_known).abs() < 0.005, "{known}");
+    assert!(known < unknown + 0.005, "{known}, {unknown} if unknown");
 }
 
 #[test]
-fn callers_that_came_before_state_less_time() {
-    let mut patience = CallerTimeouts::default();
+fn returning_callers_state_shorter_timeouts() {
+    let mut timeouts = CallerTimeouts::default();
     let s = Duration::from_secs;
-    assert_eq!(patience.take(s(12)), CallerAttempt::First);
-    assert_eq!(patience.take(s(11)), CallerAttempt::Later);
-    assert_eq!(patience.take(s(12)), CallerAttempt::First);
+    assert_eq!(timeouts.take(s(12)), CallerAttempt::First);
+    assert_eq!(timeouts.take(s(11)), CallerAttempt::Later);
+    assert_eq!(timeouts.take(s(12)), CallerAttempt::First);
     assert_eq!(
-        patience.take(s(100)),
+        timeouts.take(s(100)),
         CallerAttempt::First,
-        "one that waits far longer"
+        "a caller with a far longer timeout"
     );
-    assert_eq!(patience.take(s(12)), CallerAttempt::Later);
+    assert_eq!(timeouts.take(s(12)), CallerAttempt::Later);
     for _ in 0..3_000 {
-        patience.take(s(12));
+        timeouts.take(s(12));
     }
     assert_eq!(
-        patience.take(s(12)),
+        timeouts.take(s(12)),
         CallerAttempt::First,
-        "the one is forgotten"
+        "the long timeout has expired"
     );
 }
--- a/crates/steering/tests/route_shares.rs
+++ b/crates/steering/tests/route_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of services and regions, and what follows a miss.
+//! Shares of services and regions, and retry decisions.
 
 use rstest::rstest;
 use steering::route::{
@@ -6,12 +6,12 @@
     object_hash, share_by_capacity, unit_hash,
 };
 
-fn parts(weights: &[f64]) -> Vec<WeightedService> {
-    let part = |(i, weight): (usize, &f64)| WeightedService {
+fn services(weights: &[f64]) -> Vec<WeightedService> {
+    let service = |(i, weight): (usize, &f64)| WeightedService {
         service: format!("s{i}"),
         weight: *weight,
     };
-    weights.iter().enumerate().map(part).collect()
+    weights.iter().enumerate().map(service).collect()
 }
 
 #[rstest]
@@ -20,13 +20,13 @@
 #[case::thirds(&[1.0, 1.0, 1.0])]
 #[case::one_gets_none(&[5.0, 0.0])]
 #[case::alone(&[3.0])]
-fn services_get_their_weights(#[case] weights: &[f64]) {
-    let parts = parts(weights);
+fn services_get_requests_by_weight(#[case] weights: &[f64]) {
+    let services = services(weights);
     let total: f64 = weights.iter().sum();
-    let mut spread = WeightedRoundRobin::default();
+    let mut picker = WeightedRoundRobin::default();
     let mut counts = vec![0u32; weights.len()];
     for sent in 1..=1_000u32 {
-        counts[spread.pick(&parts)] += 1;
+        counts[picker.pick(&services)] += 1;
         for (count, weight) in counts.iter().zip(weights) {
             let owed = f64::from(sent) * weight / total;
             assert!(
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn new_weights_are_heeded_at_once() {
-    let mut spread = WeightedRoundRobin::default();
-    let mut before = parts(&[1.0, 0.0]);
+fn new_weights_apply_at_once() {
+    let mut picker = WeightedRoundRobin::default();
+    let mut services = services(&[1.0, 0.0]);
     for _ in 0..500 {
-        spread.pick(&before);
+        picker.pick(&services);
     }
-    before[0].weight = 0.0;
-    before[1].weight = 1.0;
-    let second = (0..100).filter(|_| spread.pick(&before) == 1).count();
+    services[0].weight = 0.0;
+    services[1].weight = 1.0;
+    let second = (0..100).filter(|_| picker.pick(&services) == 1).count();
     assert!(second >= 99, "{second} of 100");
 }
 
@@ -56,7 +56,7 @@
 #[case::no_upstream(0.0, 216.0, 3, 0.0)]
 #[case::alone(18.0, 18.0, 1, 1.0)]
 #[case::nothing_known(0.0, 0.0, 0, 1.0)]
-fn a_region_begins_with_its_slots(
+fn share_starts_with_the_slots_of_the_region(
     #[case] own: f64,
     #[case] all: f64,
     #[case] regions: usize,
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn the_share_holds_for_uneven_objects_too() {
-    let mut spread = RegionShare::new(share_by_capacity(40.0, 300.0, 3));
-    let own = spread.share();
+fn share_holds_for_unevenly_requested_objects() {
+    let mut region_share = RegionShare::new(share_by_capacity(40.0, 300.0, 3));
+    let own = region_share.share();
     // One object makes up half of the requests.
     let object = |i: u64| {
         object_hash(
@@ -77,14 +77,14 @@
             &(if i.is_multiple_of(2) { 7 } else { i % 40 }).to_le_bytes(),
         )
     };
-    let stayed = (0..2_000)
-        .filter(|i| spread.keeps_local(unit_hash(object(*i))))
+    let kept = (0..2_000)
+        .filter(|i| region_share.keeps_local(unit_hash(object(*i))))
         .count();
-    let share = stayed as f64 / 2_000.0;
+    let share = kept as f64 / 2_000.0;
     assert!((share - own).abs() < 0.02, "{share} instead of {own}");
 }
 
-/// A region that keeps 0.5, where its slots have so much; a whole step is 0.03.
+/// Adjustment of a region's share of 0.5, given its share of room; a full step is 0.03.
 #[rstest]
 #[case::crowded(0.95, 0.3, 0.8, -0.03)]
 #[case::crowded_but_others_more(0.95, 1.2, 0.8, 0.0)]
@@ -97,16 +97,16 @@
 #[case::far_beyond_its_slots(0.7, 0.3, 0.1, -0.03)]
 #[case::crowded_at_its_slots(0.95, 0.3, 0.5, -0.03)]
 #[case::others_gone(0.4, f64::INFINITY, 0.2, 0.03)]
-fn the_share_moves_by_steps(
+fn share_changes_by_steps(
     #[case] own_use: f64,
     #[case] others_use: f64,
     #[case] by_room: f64,
-    #[case] moved: f64,
+    #[case] expected_change: f64,
 ) {
-    let mut spread = RegionShare::new(0.5);
-    spread.adapt(0.03, own_use, others_use, by_room);
-    let moved_by = spread.share() - 0.5;
-    assert!((moved_by - moved).abs() < 1e-9, "{moved_by}");
+    let mut region_share = RegionShare::new(0.5);
+    region_share.adapt(0.03, own_use, others_use, by_room);
+    let change = region_share.share() - 0.5;
+    assert!((change - expected_change).abs() < 1e-9, "{change}");
 }
 
 #[rstest]
@@ -117,11 +117,11 @@
 #[case::lost_not_repeatable(&[SendOutcome::Perhaps], false, true, RetryDecision::MayHaveRun)]
 #[case::lost_then_refused(&[SendOutcome::Perhaps, SendOutcome::Refused], true, false, RetryDecision::MayHaveRun)]
 #[case::nothing_tried(&[], false, false, RetryDecision::NotRun)]
-fn only_what_surely_did_not_run_is_called_so(
+fn not_run_is_reported_only_if_certain(
     #[case] sends: &[SendOutcome],
     #[case] repeatable: bool,
     #[case] may_send_again: bool,
-    #[case] fate: RetryDecision,
+    #[case] decision: RetryDecision,
 ) {
-    assert_eq!(decide_retry(sends, repeatable, may_send_again), fate);
+    assert_eq!(decide_retry(sends, repeatable, may_send_again), decision);
 }
--- a/crates/steering/tests/route_table.rs
+++ b/crates/steering/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route a request belongs to.
+//! Lookup of a request's route.
 
 use std::time::Duration;
 
@@ -54,7 +54,8 @@
     assert_eq!(route, found);
 }
 
-/// A look-up asks once for each segment of the path, however many routes there are.
+/// The cost of a look-up depends on the segments of the path and not on the number of
+/// routes.
 #[test]
 fn finds_one_of_ten_thousand() {
     let prefixes: Vec<String> = (0..10_000).map(|i| format!("/r{i}/")).collect();
--- a/crates/steering/tests/route_view.rs
+++ b/crates/steering/tests/route_view.rs
@@ -1,4 +1,4 @@
-//! What is believed of upstreams while views follow each other.
+//! Observed state of upstreams across successive views.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 };
 use steering::statement::Obstacle;
 
-/// Longer than what an upstream has said is remembered while no report names it.
+/// Longer than the time for which statements are remembered without a report.
 const LONG: Duration = Duration::from_secs(3_600);
 
-fn report(born_ms: u64, slots: u32) -> ReportedUpstream {
+fn report(started_ms: u64, slots: u32) -> ReportedUpstream {
     ReportedUpstream {
         id: "i-1".to_owned(),
-        started_ms: Some(born_ms),
+        started_ms: Some(started_ms),
         service: "s1".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "duran".to_owned(),
@@ -27,15 +27,16 @@
     }
 }
 
-/// A host's beliefs on one upstream.
+/// A host's known state of one upstream.
 #[derive(Default)]
-struct Beliefs {
+struct KnownState {
     catalog: Catalog,
-    conditions: ObservedState,
+    observed: ObservedState,
 }
 
-impl Beliefs {
-    /// The upstream of the next view, after the store has told all its reports.
+impl KnownState {
+    /// Applies a complete snapshot of the reports and returns the upstream of the next
+    /// view.
     fn upstream(&mut self, now: Instant, reports: &[ReportedUpstream]) -> Option<Arc<Upstream>> {
         let whole = Changes {
             whole: true,
@@ -49,7 +50,7 @@
             &self.catalog,
             &Evacuations::default(),
             &regions,
-            &mut self.conditions,
+            &mut self.observed,
             now,
         );
         let pool = pools.get("s1")?.regions.get("costa")?;
@@ -57,8 +58,8 @@
     }
 }
 
-/// The reports (birth and slots, or none) that the store tells one after the other once an
-/// upstream has said that it leaves, and what stands against a request then.
+/// Reports (start time and slots, or none) read one after the other after an upstream has
+/// declared that it shuts down, and the resulting obstacle.
 #[rstest]
 #[case::still_ready(&[Some((1, 9))], Some(Obstacle::Leaves))]
 #[case::changed(&[Some((1, 5))], Some(Obstacle::Leaves))]
@@ -66,63 +67,63 @@
 #[case::gone_for_several_views(&[None, None, None, Some((1, 9))], Some(Obstacle::Leaves))]
 #[case::born_again(&[Some((2, 9))], None)]
 #[case::gone_and_born_again(&[None, Some((2, 9))], None)]
-fn leaving_belongs_to_a_start_whatever_the_store_says(
-    #[case] told: &[Option<(u64, u32)>],
+fn shutdown_statement_applies_to_one_start_whatever_the_reports(
+    #[case] snapshots: &[Option<(u64, u32)>],
     #[case] obstacle: Option<Obstacle>,
 ) {
     let now = Instant::now();
-    let mut beliefs = Beliefs::default();
-    let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
+    let mut known_state = KnownState::default();
+    let upstream = known_state.upstream(now, &[report(1, 9)]).unwrap();
     upstream.state().statements.leave(now);
     drop(upstream);
     let mut last = None;
-    for told in told {
-        let reports: Vec<_> = told
+    for snapshot in snapshots {
+        let reports: Vec<_> = snapshot
             .iter()
-            .map(|(born, slots)| report(*born, *slots))
+            .map(|(started_ms, slots)| report(*started_ms, *slots))
             .collect();
-        last = beliefs.upstream(now, &reports);
+        last = known_state.upstream(now, &reports);
     }
-    let upstream = last.expect("it is there again");
+    let upstream = last.expect("the report is back");
     assert_eq!(upstream.state().obstacle(now), obstacle);
 }
 
 #[test]
-fn a_rest_outlasts_a_report_that_is_gone_for_a_while() {
+fn rest_survives_a_missing_report() {
     let now = Instant::now();
-    let mut beliefs = Beliefs::default();
-    let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
+    let mut known_state = KnownState::default();
+    let upstream = known_state.upstream(now, &[report(1, 9)]).unwrap();
     upstream.state().statements.rest(now, LONG);
     drop(upstream);
-    assert!(beliefs.upstream(now, &[]).is_none());
-    let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    let rests = upstream.state().obstacle(now);
-    assert_eq!(rests, Some(Obstacle::Rests(LONG)));
+    assert!(known_state.upstream(now, &[]).is_none());
+    let upstream = known_state.upstream(now, &[report(1, 9)]).unwrap();
+    let obstacle = upstream.state().obstacle(now);
+    assert_eq!(obstacle, Some(Obstacle::Rests(LONG)));
 }
 
-/// The answer to a request that is under way while the report vanishes says that the
-/// upstream leaves.
+/// The answer to a request in flight declares that the upstream shuts down, while its
+/// report is missing.
 #[test]
-fn what_is_said_while_no_report_is_there_holds_when_it_is_back() {
+fn statement_without_a_report_holds_when_the_report_returns() {
     let now = Instant::now();
-    let mut beliefs = Beliefs::default();
-    let in_flight = beliefs.upstream(now, &[report(1, 9)]).unwrap();
-    assert!(beliefs.upstream(now, &[]).is_none());
+    let mut known_state = KnownState::default();
+    let in_flight = known_state.upstream(now, &[report(1, 9)]).unwrap();
+    assert!(known_state.upstream(now, &[]).is_none());
     in_flight.state().statements.leave(now);
     drop(in_flight);
-    assert!(beliefs.upstream(now, &[]).is_none());
-    let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
+    assert!(known_state.upstream(now, &[]).is_none());
+    let upstream = known_state.upstream(now, &[report(1, 9)]).unwrap();
     assert_eq!(upstream.state().obstacle(now), Some(Obstacle::Leaves));
 }
 
 #[test]
-fn what_a_start_has_said_is_not_remembered_for_good() {
+fn statements_of_a_start_expire() {
     let now = Instant::now();
-    let mut beliefs = Beliefs::default();
-    let upstream = beliefs.upstream(now, &[report(1, 9)]).unwrap();
+    let mut known_state = KnownState::default();
+    let upstream = known_state.upstream(now, &[report(1, 9)]).unwrap();
     upstream.state().statements.leave(now);
     drop(upstream);
-    assert!(beliefs.upstream(now + LONG, &[]).is_none());
-    let upstream = beliefs.upstream(now + LONG, &[report(1, 9)]).unwrap();
+    assert!(known_state.upstream(now + LONG, &[]).is_none());
+    let upstream = known_state.upstream(now + LONG, &[report(1, 9)]).unwrap();
     assert_eq!(upstream.state().obstacle(now + LONG), None);
 }
