--- a/crates/steering/src/route/catalog.rs
+++ b/crates/steering/src/route/catalog.rs
@@ -54,7 +54,7 @@
     listed: BTreeMap<UpstreamId, Listed>,
     is_read: bool,
     /// Time at which the store answered again after an outage.
-    store_back: Option<Instant>,
+    store_returned_at: Option<Instant>,
 }
 
 impl From<&CatalogChange> for Record {
@@ -70,18 +70,18 @@
     /// Records when the store answered again after an outage; `None` if there was no
     /// outage, even if one was recorded before.
     pub fn store_returned(&mut self, at: impl Into<Option<Instant>>) {
-        self.store_back = at.into();
+        self.store_returned_at = at.into();
     }
 
     /// Returns when the store answered again; `None` without an outage.
     pub fn store_returned_at(&self) -> Option<Instant> {
-        self.store_back
+        self.store_returned_at
     }
 
     /// Returns the end of the grace time for reports that vanished around an outage; `None`
     /// outside of it.
     pub fn grace_until(&self, now: Instant) -> Option<Instant> {
-        let until = self.store_back.map(|back| back + REGISTRATION_GRACE);
+        let until = self.store_returned_at.map(|back| back + REGISTRATION_GRACE);
         until.filter(|until| *until > now)
     }
 
@@ -94,30 +94,30 @@
     /// changed.
     pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<CatalogChange> {
         self.is_read |= changes.whole;
-        let mut applied = Vec::new();
+        let mut applied_changes = Vec::new();
         for id in self.missing_from(changes) {
             let at_once = self.remove(now, &id);
-            applied.push(CatalogChange::Removed { id, at_once });
+            applied_changes.push(CatalogChange::Removed { id, at_once });
         }
         for record in &changes.records {
             match record {
                 Record::Upstream(report) if self.put(now, report.clone()) => {
-                    applied.push(CatalogChange::Reported(report.clone()));
+                    applied_changes.push(CatalogChange::Reported(report.clone()));
                 }
                 // An invalid report names no upstream any more, whoever wrote it.
                 Record::Unusable { key, .. } if self.listed.remove(key).is_some() => {
                     let id = key.clone();
-                    applied.push(CatalogChange::Removed { id, at_once: true });
+                    applied_changes.push(CatalogChange::Removed { id, at_once: true });
                 }
                 Record::UpstreamGone(id) if self.listed.contains_key(id) => {
                     let at_once = self.remove(now, id);
                     let id = id.clone();
-                    applied.push(CatalogChange::Removed { id, at_once });
+                    applied_changes.push(CatalogChange::Removed { id, at_once });
                 }
                 _ => {}
             }
         }
-        applied
+        applied_changes
     }
 
     /// Returns the upstreams that are missing in a complete snapshot.
@@ -162,7 +162,7 @@
     /// Removes a report, at once or when its upstream has had time to renew it. Returns
     /// true if it is removed at once.
     fn remove(&mut self, now: Instant, id: &str) -> bool {
-        let may_have_expired = self.store_back.is_some_and(|back| {
+        let may_have_expired = self.store_returned_at.is_some_and(|back| {
             let expired_until = back + LAPSE_PROPAGATION_LIMIT;
             back <= now && now <= expired_until
         });
--- a/crates/steering/src/route/feed.rs
+++ b/crates/steering/src/route/feed.rs
@@ -93,8 +93,8 @@
     pub digest: FeedDigest,
     /// Time for which the store has answered, as far as the sender knows.
     pub store_uptime: StoreUptime,
-    /// Time at which the underlying answer of the store was current, by the receiver's
-    /// clock. Never later than the actual time.
+    /// Time at which the underlying answer of the store was current, by this host's clock.
+    /// Never later than the actual time.
     pub as_of: Instant,
     /// Changed records in feed order.
     pub records: Vec<Record>,
--- a/crates/steering/src/route/host_table.rs
+++ b/crates/steering/src/route/host_table.rs
@@ -30,8 +30,8 @@
     /// Incarnation in its last heartbeat; `None` before the first one.
     pub incarnation: Option<Incarnation>,
     last_heard: Option<Instant>,
-    /// Time at which it was last heard, or else became known.
-    last_sign: Instant,
+    /// Time at which the host was last heard, or else became known.
+    last_seen: Instant,
     /// Whether the store's list has, or had, its row.
     listed: bool,
     leaving: bool,
@@ -78,7 +78,7 @@
             let host = KnownHost {
                 incarnation: None,
                 last_heard: None,
-                last_sign: now,
+                last_seen: now,
                 listed: true,
                 leaving: false,
                 entry: entry.clone(),
@@ -111,7 +111,7 @@
             entry: entry.clone(),
             incarnation: Some(incarnation),
             last_heard: Some(now),
-            last_sign: now,
+            last_seen: now,
             listed,
             leaving,
         };
@@ -123,7 +123,7 @@
     pub fn answered(&mut self, now: Instant, name: &str) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.last_heard = Some(now);
-            host.last_sign = now;
+            host.last_seen = now;
         }
     }
 
@@ -168,7 +168,7 @@
     pub fn lost<'a>(&self, now: Instant, partners: &'a [HostEntry]) -> Vec<&'a HostName> {
         let is_lost = |name: &HostName| {
             let host = self.hosts.get(name);
-            host.is_some_and(|host| now.saturating_duration_since(host.last_sign) > LOST_AFTER)
+            host.is_some_and(|host| now.saturating_duration_since(host.last_seen) > LOST_AFTER)
         };
         let names = partners.iter().map(|partner| &partner.name);
         names.filter(|name| is_lost(name)).collect()
@@ -178,7 +178,7 @@
     /// silence itself.
     pub fn resume(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.last_sign = now;
+            host.last_seen = now;
             if host.last_heard.is_some() {
                 host.last_heard = Some(now);
             }
@@ -190,7 +190,7 @@
     /// the moment when it reaches the store again but has not heard them yet.
     pub fn was_cut_off(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.last_sign = now;
+            host.last_seen = now;
         }
     }
 
@@ -202,7 +202,7 @@
 }
 
 fn is_recent(host: &KnownHost, now: Instant) -> bool {
-    now.saturating_duration_since(host.last_sign) < COUNTED_FOR
+    now.saturating_duration_since(host.last_seen) < COUNTED_FOR
 }
 
 fn is_advertised(host: &KnownHost, now: Instant) -> bool {
--- a/crates/steering/src/route/spread.rs
+++ b/crates/steering/src/route/spread.rs
@@ -32,9 +32,9 @@
         for (owed, part) in self.owed.iter_mut().zip(parts) {
             *owed += part.weight / total;
         }
-        let most = self.owed.iter().enumerate();
-        let most = most.max_by(|a, b| a.1.total_cmp(b.1).then(b.0.cmp(&a.0)));
-        let picked = most.map_or(0, |(place, _)| place);
+        let largest = self.owed.iter().enumerate();
+        let largest = largest.max_by(|a, b| a.1.total_cmp(b.1).then(b.0.cmp(&a.0)));
+        let picked = largest.map_or(0, |(index, _)| index);
         self.owed[picked] -= 1.0;
         picked
     }
@@ -43,35 +43,35 @@
 /// Controls the share of a service's requests that stays in this host's region.
 #[derive(Debug)]
 pub struct RegionShare {
-    /// Share that stays, from 0 to 1.
-    own: f64,
+    /// Share of the requests that stays, from 0 to 1.
+    share: f64,
     /// Requests owed to the own region.
     owed: f64,
 }
 
 impl RegionShare {
-    /// Starts with the region's share of room, see [`share_by_capacity`].
-    pub fn new(by_room: f64) -> Self {
+    /// Starts with the region's share of capacity, see [`share_by_capacity`].
+    pub fn new(by_capacity: f64) -> Self {
         RegionShare {
-            own: by_room,
+            share: by_capacity,
             owed: 0.0,
         }
     }
 
     /// Returns the share that stays, from 0 to 1.
     pub fn share(&self) -> f64 {
-        self.own
+        self.share
     }
 
-    /// Returns whether a request stays. `place` is the number from 0 to 1 derived from its
+    /// Returns whether a request stays. `object_position` is the number from 0 to 1 derived from its
     /// object's hash, so that the same objects stay.
-    pub fn keeps_local(&mut self, place: f64) -> bool {
-        self.owed += self.own;
-        let mut stays = place < self.own;
-        if self.owed > MAX_DEVIATION && self.own > 0.0 {
+    pub fn keeps_local(&mut self, object_position: f64) -> bool {
+        self.owed += self.share;
+        let mut stays = object_position < self.share;
+        if self.owed > MAX_DEVIATION && self.share > 0.0 {
             stays = true;
         }
-        if self.owed < -MAX_DEVIATION && self.own < 1.0 {
+        if self.owed < -MAX_DEVIATION && self.share < 1.0 {
             stays = false;
         }
         if stays {
@@ -82,8 +82,8 @@
     }
 
     /// Adjusts the share by at most `step`, given the utilization of the own region and of
-    /// the least loaded other region; 1 is full. `by_room` is the region's current share of
-    /// room.
+    /// the least loaded other region; 1 is full. `by_capacity` is the region's current
+    /// share of capacity.
     ///
     /// While other regions have lower utilization, the share is bounded by the region's
     /// slots. A region with a tenth of all slots that takes back all work of its callers at
@@ -91,27 +91,34 @@
     /// With 3 regions and 1,188 upstreams, 120 of them in one region, this bound raised the
     /// share of its callers' answers in time from 0.84 to 0.94 (of those owed to them, in
     /// one day without faults).
-    pub fn adapt(&mut self, step: f64, own_use: f64, others_use: f64, by_room: f64) {
-        let most = match others_use < own_use {
-            true => (by_room * MAX_SLOT_SHARE_FACTOR).min(1.0),
+    pub fn adapt(
+        &mut self,
+        step: f64,
+        own_utilization: f64,
+        others_utilization: f64,
+        by_capacity: f64,
+    ) {
+        let max = match others_utilization < own_utilization {
+            true => (by_capacity * MAX_SLOT_SHARE_FACTOR).min(1.0),
             false => 1.0,
         };
-        let is_overloaded = own_use > HIGH_UTILIZATION && others_use < own_use;
-        if is_overloaded || self.own > most {
-            let least = if is_overloaded { 0.0 } else { most };
-            self.own = (self.own - step).max(least);
-        } else if own_use < LOW_UTILIZATION {
-            self.own = (self.own + step).min(most);
+        let is_overloaded =
+            own_utilization > HIGH_UTILIZATION && others_utilization < own_utilization;
+        if is_overloaded || self.share > max {
+            let min = if is_overloaded { 0.0 } else { max };
+            self.share = (self.share - step).max(min);
+        } else if own_utilization < LOW_UTILIZATION {
+            self.share = (self.share + step).min(max);
         }
     }
 }
 
-/// Returns the share of its callers' requests for which a region has room if callers are
-/// spread evenly over regions.
-pub fn share_by_capacity(own_room: f64, all_room: f64, regions: usize) -> f64 {
-    let even = all_room / regions.max(1) as f64;
+/// Returns the share of its callers' requests for which a region has capacity if callers
+/// are spread evenly over regions.
+pub fn share_by_capacity(own_capacity: f64, total_capacity: f64, regions: usize) -> f64 {
+    let even = total_capacity / regions.max(1) as f64;
     match even > 0.0 {
-        true => (own_room / even).min(1.0),
+        true => (own_capacity / even).min(1.0),
         false => 1.0,
     }
 }
--- a/crates/steering/src/route/unavailable.rs
+++ b/crates/steering/src/route/unavailable.rs
@@ -92,7 +92,7 @@
     /// The first skipped upstreams, for the request's log.
     pub first_ids: Vec<UpstreamId>,
     /// Shortest rest among the object's first homes that rest. Callers with objects of
-    /// different upstreams thus retry as the room of these upstreams returns.
+    /// different upstreams thus retry as the capacity of these upstreams returns.
     pub rest: Option<Duration>,
     resting: usize,
     /// Earliest next token among the object's first homes that are at their rate limits.
--- a/crates/steering/src/route/zone_health.rs
+++ b/crates/steering/src/route/zone_health.rs
@@ -18,8 +18,8 @@
     /// Upstreams that have failed since the zone last answered.
     failing: BTreeSet<UpstreamId>,
     /// Number of suspicions since then.
-    doubts: u32,
-    doubted_until: Option<Instant>,
+    suspicions: u32,
+    suspected_until: Option<Instant>,
 }
 
 impl ZoneHealth {
@@ -36,15 +36,15 @@
     /// Returns whether the zone's upstreams rank after all others. The suspicion expires
     /// from time to time so that a request tests whether the zone is back.
     pub fn is_suspected_down(&self, now: Instant) -> bool {
-        self.doubted_until.is_some_and(|until| until > now)
+        self.suspected_until.is_some_and(|until| until > now)
     }
 
     fn failed(&mut self, now: Instant, upstream: &str) {
         self.failing.insert(upstream.to_owned());
         // Requests sent before the suspicion began fail during it and add no evidence.
         if self.failing.len() >= MIN_FAILING_UPSTREAMS && !self.is_suspected_down(now) {
-            self.doubted_until = Some(now + ejection_time(self.doubts));
-            self.doubts += 1;
+            self.suspected_until = Some(now + ejection_time(self.suspicions));
+            self.suspicions += 1;
         }
     }
 }
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -105,14 +105,14 @@
 #[test]
 fn retry_on_the_same_upstream_needs_a_token() {
     let now = Instant::now();
-    let mut condition = UpstreamState::default();
+    let mut state = UpstreamState::default();
     for _ in 0..10 {
-        condition.answered(now, steering::route::AnswerOutcome::Complete);
+        state.answered(now, steering::route::AnswerOutcome::Complete);
     }
-    condition.statements.limit(now, now, Some(4.0));
-    assert!(condition.allows_retry(now));
-    condition.statements.limit_exhausted(now, WAIT);
-    assert!(!condition.allows_retry(now));
+    state.statements.limit(now, now, Some(4.0));
+    assert!(state.allows_retry(now));
+    state.statements.limit_exhausted(now, WAIT);
+    assert!(!state.allows_retry(now));
 }
 
 /// Returns the objects that stay at their first home `first`, and the number of all objects
@@ -218,41 +218,38 @@
     #[case] change: Option<LimitChange>,
 ) {
     let now = Instant::now();
-    let mut condition = UpstreamState::default();
-    let stated = &mut condition.statements;
-    let heard = now + 10 * MS;
+    let mut state = UpstreamState::default();
+    let statements = &mut state.statements;
+    let received = now + 10 * MS;
     assert_eq!(
-        stated.limit(heard, now, Some(4.8)),
+        statements.limit(received, now, Some(4.8)),
         Some(LimitChange::Named)
     );
     assert_eq!(
-        stated.limit(heard, now, Some(4.8)),
+        statements.limit(received, now, Some(4.8)),
         None,
         "the limit is unchanged"
     );
     assert_eq!(
-        stated.limit(heard + 30 * MS, now + sent_ms * MS, None),
+        statements.limit(received + 30 * MS, now + sent_ms * MS, None),
         change
     );
-    assert_eq!(stated.limit_heard(heard).is_some(), change.is_none());
+    assert_eq!(statements.limit_heard(received).is_some(), change.is_none());
 }
 
 #[test]
 fn new_limit_replaces_the_previous_one() {
     let now = Instant::now();
-    let mut condition = UpstreamState::default();
-    condition.statements.limit(now, now, Some(4.8));
-    condition.statements.limit_exhausted(now, WAIT);
-    let change = condition.statements.limit(now + MS, now, Some(2.0));
+    let mut state = UpstreamState::default();
+    state.statements.limit(now, now, Some(4.8));
+    state.statements.limit_exhausted(now, WAIT);
+    let change = state.statements.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
-    assert_eq!(
-        condition.statements.limit_heard(now + MS).unwrap().per_s,
-        2.0
-    );
+    assert_eq!(state.statements.limit_heard(now + MS).unwrap().per_s, 2.0);
     assert!(
-        condition.obstacle(now + MS).is_some(),
+        state.obstacle(now + MS).is_some(),
         "the tokens stay exhausted"
     );
-    assert!(condition.statements.is_remembered(now + WAIT));
-    assert!(!condition.statements.is_remembered(now + 100 * WAIT));
+    assert!(state.statements.is_remembered(now + WAIT));
+    assert!(!state.statements.is_remembered(now + 100 * WAIT));
 }
--- a/crates/steering/tests/route_choice_stated.rs
+++ b/crates/steering/tests/route_choice_stated.rs
@@ -55,12 +55,12 @@
     let now = Instant::now();
     for by_object in [true, false] {
         let service = service(leave + rest + fail, Duration::ZERO, now);
-        for (place, upstream) in pool(&service).upstreams.iter().enumerate() {
-            let mut condition = upstream.state();
-            match place {
-                _ if place < leave => drop(condition.statements.leave(now)),
-                _ if place < leave + rest => drop(condition.statements.rest(now, REST)),
-                _ => condition.answered(now, AnswerOutcome::Unreachable),
+        for (index, upstream) in pool(&service).upstreams.iter().enumerate() {
+            let mut state = upstream.state();
+            match index {
+                _ if index < leave => drop(state.statements.leave(now)),
+                _ if index < leave + rest => drop(state.statements.rest(now, REST)),
+                _ => state.answered(now, AnswerOutcome::Unreachable),
             }
         }
         let requirements = Requirements {
@@ -144,7 +144,7 @@
 
 /// What an upstream declares or does after the selection.
 #[derive(Debug, Clone, Copy)]
-enum Then {
+enum Event {
     Nothing,
     Leaves,
     Rests,
@@ -154,28 +154,28 @@
 
 /// Event between the selection and the send, while the request waits for a connection.
 #[rstest]
-#[case::nothing(Then::Nothing, None)]
-#[case::leaves(Then::Leaves, Some(Obstacle::Leaves))]
-#[case::wants_rest(Then::Rests, Some(Obstacle::Rests(REST)))]
-#[case::is_replaced(Then::IsReplaced, Some(Obstacle::Replaced))]
-#[case::fails_others(Then::Fails, None)]
+#[case::nothing(Event::Nothing, None)]
+#[case::leaves(Event::Leaves, Some(Obstacle::Leaves))]
+#[case::wants_rest(Event::Rests, Some(Obstacle::Rests(REST)))]
+#[case::is_replaced(Event::IsReplaced, Some(Obstacle::Replaced))]
+#[case::fails_others(Event::Fails, None)]
 fn waiting_request_is_not_sent_after_a_new_statement(
-    #[case] then: Then,
+    #[case] event: Event,
     #[case] blocking: Option<Obstacle>,
 ) {
     let now = Instant::now();
     let service = service(1, Duration::ZERO, now);
     let choice = choose(pool(&service), &requirements(&service, None), now).unwrap();
-    let mut condition = choice.upstream.state();
-    condition.request_sent(now);
-    match then {
-        Then::Nothing => {}
-        Then::Leaves => assert!(condition.statements.leave(now)),
-        Then::Rests => assert!(condition.statements.rest(now, REST)),
-        Then::IsReplaced => condition.replaced(),
-        Then::Fails => condition.answered(now, AnswerOutcome::Unreachable),
+    let mut state = choice.upstream.state();
+    state.request_sent(now);
+    match event {
+        Event::Nothing => {}
+        Event::Leaves => assert!(state.statements.leave(now)),
+        Event::Rests => assert!(state.statements.rest(now, REST)),
+        Event::IsReplaced => state.replaced(),
+        Event::Fails => state.answered(now, AnswerOutcome::Unreachable),
     }
-    drop(condition);
+    drop(state);
     assert_eq!(choice.new_obstacle(now), blocking);
 }
 
--- a/crates/steering/tests/route_estimate.rs
+++ b/crates/steering/tests/route_estimate.rs
@@ -10,10 +10,7 @@
 const FETCHED: Duration = Duration::from_millis(360);
 
 fn affinity(last_sent: LastSent, rank: usize) -> Option<Affinity> {
-    Some(Affinity {
-        last_sent: last_sent,
-        rank,
-    })
+    Some(Affinity { last_sent, rank })
 }
 
 /// Returns an estimate after fifty answers each for held and not held objects.
--- a/crates/steering/tests/route_news_timing.rs
+++ b/crates/steering/tests/route_news_timing.rs
@@ -86,9 +86,7 @@
     #[values((2_000, 3_000), (2_500, 4_000), (3_000, 4_000), (4_000, 4_000))] bounds: (u64, u64),
 ) {
     let (tightest_bound, contact) = (ms(bounds.0), ms(bounds.1));
-    let timing = FeedTiming {
-        tightest_bound: tightest_bound,
-    };
+    let timing = FeedTiming { tightest_bound };
     let bounds_of_deployment = Bounds { timing, contact };
     for (path, duration) in UPDATE_PATHS {
         let duration = duration(bounds_of_deployment);
--- a/crates/steering/tests/route_shares.rs
+++ b/crates/steering/tests/route_shares.rs
@@ -98,13 +98,13 @@
 #[case::crowded_at_its_slots(0.95, 0.3, 0.5, -0.03)]
 #[case::others_gone(0.4, f64::INFINITY, 0.2, 0.03)]
 fn share_changes_by_steps(
-    #[case] own_use: f64,
-    #[case] others_use: f64,
-    #[case] by_room: f64,
+    #[case] own_utilization: f64,
+    #[case] others_utilization: f64,
+    #[case] by_capacity: f64,
     #[case] expected_change: f64,
 ) {
     let mut region_share = RegionShare::new(0.5);
-    region_share.adapt(0.03, own_use, others_use, by_room);
+    region_share.adapt(0.03, own_utilization, others_utilization, by_capacity);
     let change = region_share.share() - 0.5;
     assert!((change - expected_change).abs() < 1e-9, "{change}");
 }
