--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -50,7 +50,7 @@
         let id = &self.upstream.report.id;
         let mut condition = self.upstream.state();
         condition.answered(now, answered);
-        if answered.shows_life() && condition.statements.answered(self.started_at) {
+        if answered.proves_alive() && condition.statements.answered(self.started_at) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
         drop(condition);
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -93,7 +93,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`Unavailable`] with the cause and a retry time if no upstream can take the request.
+/// Returns [`Unavailable`] with the cause and a retry time if no upstream can take the
+/// request.
 pub fn choose(
     pool: &RegionPool,
     requirements: &Requirements<'_>,
--- a/crates/steering/src/route/expectation.rs
+++ b/crates/steering/src/route/expectation.rs
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns the probability that a request is answered within its goal if it takes `more`
-/// from now on.
+/// Returns the probability that a request is answered within its goal if it takes
+/// `remaining` from now on.
 fn on_time_probability(requirements: &Requirements<'_>, remaining: Duration) -> f64 {
     let goal_left = requirements
         .latency_goal
--- a/crates/steering/src/route/feed_timing.rs
+++ b/crates/steering/src/route/feed_timing.rs
@@ -28,8 +28,8 @@
 /// Time reserved for the first answered store call of a host that was cut off, before it
 /// counts as in contact again.
 const FIRST_ANSWER_TIME: Duration = Duration::from_millis(200);
-/// Lower bound of [`max_retry_pause`], for deployments in which hosts count as in contact again
-/// after very little time.
+/// Lower bound of [`max_retry_pause`], for deployments in which hosts count as in contact
+/// again after very little time.
 const MIN_PAUSE_LIMIT: Duration = Duration::from_millis(400);
 
 /// Intervals and timeouts of a host that follows a feed.
--- a/crates/steering/src/route/health.rs
+++ b/crates/steering/src/route/health.rs
@@ -38,7 +38,7 @@
 
 impl AnswerOutcome {
     /// Returns whether the result proves that the upstream is alive.
-    pub fn shows_life(self) -> bool {
+    pub fn proves_alive(self) -> bool {
         matches!(self, AnswerOutcome::Complete | AnswerOutcome::Refused)
     }
 }
@@ -80,8 +80,8 @@
 
 impl Health {
     /// Records the result of a request.
-    pub fn take(&mut self, now: Instant, answered: AnswerOutcome) {
-        match answered {
+    pub fn take(&mut self, now: Instant, outcome: AnswerOutcome) {
+        match outcome {
             AnswerOutcome::Complete => {
                 self.complete.add(now);
                 self.record_alive();
--- a/crates/steering/src/route/pace.rs
+++ b/crates/steering/src/route/pace.rs
@@ -41,20 +41,20 @@
     hosts.map_or(0.0, |hosts| limit / hosts.max(1) as f64)
 }
 
-/// Returns the number of requests that the host `this_host` may send to a cold upstream in a
-/// window, given the `most_per_s` that the upstream may receive per second. `hosts` are the
-/// hosts that may send to it, `this_host` among them; `None` while they are unknown.
+/// Returns the number of requests that `this_host` may send to a cold upstream in a window,
+/// given the `max_per_s` that the upstream may receive per second. `hosts` are the hosts
+/// that may send to it, `this_host` among them; `None` while they are unknown.
 ///
 /// If there are more hosts than requests, each request is assigned to one host by the
 /// upstream's rendezvous ranking.
 pub fn cold_share(
-    most_per_s: f64,
+    max_per_s: f64,
     upstream: &str,
     this_host: &str,
     hosts: Option<&[HostName]>,
 ) -> usize {
     let Some(hosts) = hosts else { return 0 };
-    let max_per_window = (most_per_s * USED_SHARE).floor().max(0.0) as usize;
+    let max_per_window = (max_per_s * USED_SHARE).floor().max(0.0) as usize;
     let each = max_per_window / hosts.len().max(1);
     if each > 0 {
         return each;
--- a/crates/steering/src/route/poll_schedule.rs
+++ b/crates/steering/src/route/poll_schedule.rs
@@ -181,7 +181,7 @@
     /// Returns the hosts that this host, just started and without any state, asks instead
     /// of the store: hosts of its group that rank before it, the nearest first; none if
     /// this host ranks first. These hosts form a tree, so that a whole group can start at
-    /// once and no host answers more than [`MAX_BOOTSTRAP_CHILDREN`] others.
+    /// once and no host answers more than `MAX_BOOTSTRAP_CHILDREN` others.
     pub fn bootstrap_hosts<'a>(&self, group: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
         let ranked = rendezvous::rank(&self.feed, group);
         let ranks_higher = |name: &&str| {
--- a/crates/steering/src/route/spread.rs
+++ b/crates/steering/src/route/spread.rs
@@ -63,8 +63,8 @@
         self.share
     }
 
-    /// Returns whether a request stays. `object_position` is the number from 0 to 1 derived from its
-    /// object's hash, so that the same objects stay.
+    /// Returns whether a request stays. `object_position` is the number from 0 to 1 derived
+    /// from its object's hash, so that the same objects stay.
     pub fn keeps_local(&mut self, object_position: f64) -> bool {
         self.owed += self.share;
         let mut stays = object_position < self.share;
--- a/crates/steering/src/route/unavailable.rs
+++ b/crates/steering/src/route/unavailable.rs
@@ -40,11 +40,12 @@
 }
 
 impl Unavailable {
-    /// Refusal because no upstream can be reached; the caller may retry after this time.
-    pub fn unreachable(come_back: Duration) -> Self {
+    /// Refusal because no upstream can be reached. `retry_after` is raised to the minimum
+    /// of 100 ms.
+    pub fn unreachable(retry_after: Duration) -> Self {
         Unavailable {
             cause: UnavailableCause::Unreachable,
-            retry_after: come_back.max(MIN_RETRY_TIME),
+            retry_after: retry_after.max(MIN_RETRY_TIME),
             retry_spread: Duration::ZERO,
             passed_over: Vec::new(),
         }
--- a/crates/steering/src/route/upstream_state.rs
+++ b/crates/steering/src/route/upstream_state.rs
@@ -74,9 +74,9 @@
     }
 
     /// Records the head of an answer, or its absence.
-    pub fn answered(&mut self, now: Instant, answered: AnswerOutcome) {
-        self.health.take(now, answered);
-        if answered.shows_life() {
+    pub fn answered(&mut self, now: Instant, outcome: AnswerOutcome) {
+        self.health.take(now, outcome);
+        if outcome.proves_alive() {
             self.unanswered_since = (self.in_flight > 0).then_some(now);
         }
     }
@@ -133,8 +133,8 @@
     /// Returns whether a request that the upstream refused or broke off may be sent there
     /// again.
     pub fn allows_retry(&self, now: Instant) -> bool {
-        let bars = |obstacle: Obstacle| obstacle.is_stated();
-        !self.obstacle(now).is_some_and(bars) && self.health.allows_retry(now)
+        let is_stated = |obstacle: Obstacle| obstacle.is_stated();
+        !self.obstacle(now).is_some_and(is_stated) && self.health.allows_retry(now)
     }
 
     /// Returns the reason not to send a request to the upstream now. Every selection must
--- a/crates/steering/src/route/zone_health.rs
+++ b/crates/steering/src/route/zone_health.rs
@@ -24,8 +24,8 @@
 
 impl ZoneHealth {
     /// Records the result of a request to one of the zone's upstreams.
-    pub fn answered(&mut self, now: Instant, upstream: &str, answered: AnswerOutcome) {
-        match answered {
+    pub fn answered(&mut self, now: Instant, upstream: &str, outcome: AnswerOutcome) {
+        match outcome {
             AnswerOutcome::Complete | AnswerOutcome::Refused => *self = ZoneHealth::default(),
             AnswerOutcome::Unreachable => self.failed(now, upstream),
             // An upstream that breaks off an answer can be reached.
--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -19,7 +19,7 @@
 /// The head of an answer to what was sent at `sent`, as a host takes it.
 fn answer(condition: &mut UpstreamState, sent: Instant, at: Instant, answered: AnswerOutcome) {
     condition.answered(at, answered);
-    if answered.shows_life() {
+    if answered.proves_alive() {
         condition.statements.answered(sent);
     }
     condition.statements.unanswered(sent);
