--- a/crates/steering/src/route/host_table.rs
+++ b/crates/steering/src/route/host_table.rs
@@ -30,8 +30,8 @@
     /// Incarnation in its last heartbeat; `None` before the first one.
     pub incarnation: Option<Incarnation>,
     last_heard: Option<Instant>,
-    /// Time at which it was last heard, or else became known.
-    last_sign: Instant,
+    /// Time at which the host was last heard, or else became known.
+    last_seen: Instant,
     /// Whether the store's list has, or had, its row.
     listed: bool,
     leaving: bool,
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct HostTable {
     hosts: BTreeMap<HostName, KnownHost>,
-    me: HostName,
+    this_host: HostName,
     list: HostList,
     /// Time at which this host's own row was removed from the list.
     row_removed_at: Option<Instant>,
@@ -49,9 +49,9 @@
 
 impl HostTable {
     /// Creates a table without other hosts.
-    pub fn new(me: &str) -> Self {
+    pub fn new(this_host: &str) -> Self {
         HostTable {
-            me: me.to_owned(),
+            this_host: this_host.to_owned(),
             ..HostTable::default()
         }
     }
@@ -59,12 +59,16 @@
     /// Applies changes of the store's list, or a complete snapshot, and returns what has
     /// changed. A host is advertised to callers only after its first heartbeat.
     pub fn apply(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
-        let was_listed = self.list.has(&self.me);
+        let was_listed = self.list.has(&self.this_host);
         let changed_records = self.list.apply(changes);
-        if was_listed && !self.list.has(&self.me) {
+        if was_listed && !self.list.has(&self.this_host) {
             self.row_removed_at = Some(now);
         }
-        for entry in self.list.rows().filter(|entry| entry.name != self.me) {
+        for entry in self
+            .list
+            .rows()
+            .filter(|entry| entry.name != self.this_host)
+        {
             let known = self.hosts.get_mut(&entry.name);
             let same = |known: &&mut KnownHost| known.entry.peer_address == entry.peer_address;
             if let Some(known) = known.filter(same) {
@@ -74,7 +78,7 @@
             let host = KnownHost {
                 incarnation: None,
                 last_heard: None,
-                last_sign: now,
+                last_seen: now,
                 listed: true,
                 leaving: false,
                 entry: entry.clone(),
@@ -107,7 +111,7 @@
             entry: entry.clone(),
             incarnation: Some(incarnation),
             last_heard: Some(now),
-            last_sign: now,
+            last_seen: now,
             listed,
             leaving,
         };
@@ -119,7 +123,7 @@
     pub fn answered(&mut self, now: Instant, name: &str) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.last_heard = Some(now);
-            host.last_sign = now;
+            host.last_seen = now;
         }
     }
 
@@ -139,8 +143,9 @@
     /// row by which all other hosts count it. A host that no other host knows would exceed
     /// the limits, whatever its own view.
     pub fn has_share(&self, now: Instant) -> bool {
-        let is_kept = |gone: Instant| now.saturating_duration_since(gone) < OWN_SHARE_KEPT_FOR;
-        self.list.has(&self.me) || self.row_removed_at.is_some_and(is_kept)
+        let is_kept =
+            |removed_at: Instant| now.saturating_duration_since(removed_at) < OWN_SHARE_KEPT_FOR;
+        self.list.has(&self.this_host) || self.row_removed_at.is_some_and(is_kept)
     }
 
     /// Returns whether another host has a share of global limits, as far as this host
@@ -163,7 +168,7 @@
     pub fn lost<'a>(&self, now: Instant, partners: &'a [HostEntry]) -> Vec<&'a HostName> {
         let is_lost = |name: &HostName| {
             let host = self.hosts.get(name);
-            host.is_some_and(|host| now.saturating_duration_since(host.last_sign) > LOST_AFTER)
+            host.is_some_and(|host| now.saturating_duration_since(host.last_seen) > LOST_AFTER)
         };
         let names = partners.iter().map(|partner| &partner.name);
         names.filter(|name| is_lost(name)).collect()
@@ -173,7 +178,7 @@
     /// silence itself.
     pub fn resume(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.last_sign = now;
+            host.last_seen = now;
             if host.last_heard.is_some() {
                 host.last_heard = Some(now);
             }
@@ -185,7 +190,7 @@
     /// the moment when it reaches the store again but has not heard them yet.
     pub fn was_cut_off(&mut self, now: Instant) {
         for host in self.hosts.values_mut() {
-            host.last_sign = now;
+            host.last_seen = now;
         }
     }
 
@@ -197,7 +202,7 @@
 }
 
 fn is_recent(host: &KnownHost, now: Instant) -> bool {
-    now.saturating_duration_since(host.last_sign) < COUNTED_FOR
+    now.saturating_duration_since(host.last_seen) < COUNTED_FOR
 }
 
 fn is_advertised(host: &KnownHost, now: Instant) -> bool {
--- a/crates/steering/tests/stated.rs
+++ b/crates/steering/tests/stated.rs
@@ -19,7 +19,7 @@
 /// Applies the head of an answer to a request sent at `sent`, as a host does.
 fn answer(condition: &mut UpstreamState, sent: Instant, at: Instant, answered: AnswerOutcome) {
     condition.answered(at, answered);
-    if answered.shows_life() {
+    if answered.proves_alive() {
         condition.statements.answered(sent);
     }
     condition.statements.unanswered(sent);
