--- a/crates/caller/src/at_most_once.rs
+++ b/crates/caller/src/at_most_once.rs
@@ -294,7 +294,7 @@
     mut body: WorkBody,
     execution: Execution,
 ) -> Result<Response<Body>, Failure> {
-    let begun = clock::now();
+    let started_at = clock::now();
     if execution.mode == TicketMode::Store
         && let Err(answer) = claim(shared, &execution).await
     {
@@ -311,7 +311,7 @@
     }
     // A process that was paused since then must not dispatch under its old claim or ticket.
     let too_late =
-        clock::elapsed(begun) > CLAIM_DISPATCH_WINDOW || clock::now() >= execution.expires_at;
+        clock::elapsed(started_at) > CLAIM_DISPATCH_WINDOW || clock::now() >= execution.expires_at;
     let answer = match too_late {
         true => Err(ErrorKind::DeadlineBeforeDispatch.into()),
         false => dispatch::run(shared, &head, &mut body).await,
@@ -358,16 +358,17 @@
         }
     };
     let view = shared.view.load();
-    let mine = row.host == view.me.name && row.incarnation == view.incarnation;
-    if mine && row.ending.is_none() && row.fingerprint == execution.fingerprint {
+    let is_own = row.host == view.me.name && row.incarnation == view.incarnation;
+    if is_own && row.ending.is_none() && row.fingerprint == execution.fingerprint {
         // The row is from an earlier attempt of this incarnation that did not run, and is
-        // about to be removed. A claim written before its removal would be ambiguous.
+        // about to be removed. Until then, a claim of this attempt could not be distinguished
+        // from no claim.
         remove_claim(shared, execution, row.attempt);
         return Err(Err(ErrorKind::InProgress));
     }
     let same_host = row.host == view.me.name;
-    let gone = same_host || view.host(&row.host).is_none();
-    match judge(&row, &execution.fingerprint, gone) {
+    let holder_is_gone = same_host || view.host(&row.host).is_none();
+    match judge(&row, &execution.fingerprint, holder_is_gone) {
         Spend::Replay(ending) => Err(Ok(ending)),
         Spend::Conflict => Err(Err(ErrorKind::TicketConflict)),
         _ => Err(Err(ErrorKind::InProgress)),
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -27,7 +27,8 @@
 use crate::request::{RequestHead, SERVICES_PATH, text, value};
 use crate::shared::{LoadObservation, SharedState};
 
-/// Further zones that are tried after the first one refused the request at admission.
+/// Further zones that are tried after the first one refused the request at admission or could not
+/// be reached.
 const MAX_FALLBACKS: usize = 2;
 /// Attempts at one request in total, even where the retry budget would allow more.
 const MAX_ATTEMPTS: usize = 4;
@@ -124,7 +125,7 @@
 
 /// The failure that is reported to the caller.
 ///
-/// Claims that the request did not run only where this is certain, and always where it is.
+/// States that the request did not run if, and only if, this is certain.
 fn failure(error: AttemptError, kind: ErrorKind) -> Failure {
     let not_run = match error {
         AttemptError::Refused(_) | AttemptError::NotRun(_) | AttemptError::Unreachable => {
--- a/crates/caller/src/handlers.rs
+++ b/crates/caller/src/handlers.rs
@@ -56,7 +56,7 @@
     ambiguous: AmbiguousHead,
 ) -> Response<Body> {
     let id = new_id();
-    let begun = clock::now();
+    let started_at = clock::now();
     let unchecked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let ambiguous = ambiguous.load(Ordering::Acquire);
     let path = request.uri().path().to_owned();
@@ -71,7 +71,7 @@
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer.headers_mut().insert(REQUEST_ID_HEADER, value(&id));
-    log_request(&path, &id, &answer, clock::elapsed(begun));
+    log_request(&path, &id, &answer, clock::elapsed(started_at));
     answer
 }
 
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -128,17 +128,17 @@
     args: &ChangeArgs,
     progress: &mut dyn FnMut(&str),
 ) -> Outcome {
-    let begun = clock::now();
+    let started_at = clock::now();
     let mut last = None;
     loop {
         let counted = count_in_flight(target, args);
-        if clock::elapsed(begun) > limit {
+        if clock::elapsed(started_at) > limit {
             let reason = format!("{} is not quiet after {} s", target.name, limit.as_secs());
             return Outcome::failed(UNAVAILABLE, reason);
         }
         match counted {
-            Ok(0) if clock::elapsed(begun) >= PROPAGATION_TIME => {
-                let ms = clock::elapsed(begun).as_millis();
+            Ok(0) if clock::elapsed(started_at) >= PROPAGATION_TIME => {
+                let ms = clock::elapsed(started_at).as_millis();
                 return Outcome::done(format!("{} is quiet after {ms} ms", target.name));
             }
             Ok(in_flight) if last != Some(in_flight) => {
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -30,8 +30,8 @@
 /// Time between two reads of the platform's host list by the other hosts.
 const HOST_LIST_INTERVAL_OTHERS: Duration = Duration::from_secs(15);
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time after which a new host serves although it has heard neither from the platform nor from
-/// other hosts.
+/// Time after which a new host serves although it has reached neither the platform nor other
+/// hosts.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Hosts of each zone that poll the platform for new configurations.
 pub const POLLERS_PER_ZONE: usize = 2;
@@ -173,8 +173,8 @@
             self.poll().await;
             sleep(STARTUP_RETRY_DELAY).await;
         }
-        let begun = clock::now();
-        while !self.has_discovered_others() && clock::elapsed(begun) < DISCOVERY_TIMEOUT {
+        let started_at = clock::now();
+        while !self.has_discovered_others() && clock::elapsed(started_at) < DISCOVERY_TIMEOUT {
             sleep(STARTUP_RETRY_DELAY).await;
         }
         self.publish();
--- a/src/host/gossip.rs
+++ b/src/host/gossip.rs
@@ -69,9 +69,9 @@
     async fn send_heartbeat(self: Rc<Self>, address: SocketAddr, beat: Rc<Beat>) {
         let client = self.client(address);
         match client.heartbeat(&beat).await {
-            Ok(theirs) => {
-                let mine = self.state.borrow().history.revision();
-                if theirs > mine {
+            Ok(their_revision) => {
+                let own_revision = self.state.borrow().history.revision();
+                if their_revision > own_revision {
                     self.exchange_with(address).await;
                 }
             }
--- a/src/host/handler.rs
+++ b/src/host/handler.rs
@@ -23,16 +23,16 @@
             .borrow_mut()
             .membership
             .heard(clock::now(), beat.heartbeat);
-        let mine = self.0.state.borrow().history.revision();
+        let own_revision = self.0.state.borrow().history.revision();
         if !accepted {
-            return mine;
+            return own_revision;
         }
         self.0.record_loads(&host.name, beat.loads);
-        if beat.revision > mine {
+        if beat.revision > own_revision {
             let control = Rc::clone(&self.0);
             spawn_local(async move { control.exchange_with(host.peer_address).await });
         }
-        mine
+        own_revision
     }
 
     fn exchange(&self, from: &HostEntry, exchange: Exchange) -> ExchangeReply {
@@ -42,8 +42,8 @@
         let in_zone = from.zone == self.0.me.entry.zone;
         let summaries = self.0.choose_summaries(in_zone);
         let state = self.0.state.borrow();
-        let theirs = exchange.position.revision;
-        let entries = state.history.entries_after(theirs);
+        let their_revision = exchange.position.revision;
+        let entries = state.history.entries_after(their_revision);
         let snapshot = match entries {
             None => Some(state.history.snapshot()),
             Some(_) => None,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -235,7 +235,7 @@
     /// The host disappears from look-ups at once. It serves until all look-ups and tickets
     /// given to callers have expired, and ends when no request is in flight.
     pub fn stop(mut self) {
-        let begun = clock::now();
+        let started_at = clock::now();
         tracing::info!(event = "leaving", host = self.config.host);
         self.shared.leaving.store(true, Ordering::Release);
         let _ = self.commands.send(Command::Leave);
@@ -249,7 +249,7 @@
             let _ = traffic.block_on(serving);
         }
         self.shut_down();
-        let ms = clock::elapsed(begun).as_millis() as u64;
+        let ms = clock::elapsed(started_at).as_millis() as u64;
         tracing::info!(event = "stopped", host = self.config.host, ms);
     }
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -42,7 +42,7 @@
         .event_format(KeyValueLine { host: None })
         .fmt_fields(debug_fn(write_pair).delimited(" "))
         .try_init();
-    // Only tests start several hosts in one process; the first filter holds.
+    // Only tests start several hosts in one process. The filter of the first one applies to all.
     drop(started);
 }
 
@@ -65,7 +65,7 @@
         })
         .fmt_fields(debug_fn(write_pair).delimited(" "))
         .with_filter(RateLimitFilter(Arc::clone(&rate)));
-    // Only tests start several hosts in one process; the first filter holds.
+    // Only tests start several hosts in one process. The filter of the first one applies to all.
     drop(registry().with(filter).with(lines).try_init());
     let reporter = thread::Builder::new().name("log".to_owned());
     let reporter = reporter.spawn(move || {
