--- a/crates/caller/src/admission.rs
+++ b/crates/caller/src/admission.rs
@@ -12,8 +12,8 @@
 use steering::error::ErrorKind;
 use steering::plan::PoolKey;
 use steering::pool::{
-    Decision, Grant, LoadReport, MemberStatus, Offer, Outcome, Pool, PoolLimits, PoolLoad, Step,
-    WaitId,
+    Decision, Grant, LoadReport, MemberStatus, Outcome, Pool, PoolLimits, PoolLoad, PoolRequest,
+    QueueStep, WaitId,
 };
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -30,12 +30,12 @@
 
 impl OwnedPool {
     /// Sends steps to the queued requests; returns grants whose request is gone.
-    fn send_steps(&mut self, steps: Vec<Step>) -> Vec<Grant> {
+    fn send_steps(&mut self, steps: Vec<QueueStep>) -> Vec<Grant> {
         let mut unclaimed = Vec::new();
         for step in steps {
             let (wait, answer) = match step {
-                Step::Granted(grant) => (grant.wait, Ok(grant)),
-                Step::Refused(wait, kind) => (wait, Err(kind)),
+                QueueStep::Granted(grant) => (grant.wait, Ok(grant)),
+                QueueStep::Refused(wait, kind) => (wait, Err(kind)),
             };
             let Some(waiter) = self.waiting.remove(&wait) else {
                 unclaimed.extend(answer.ok());
@@ -50,7 +50,7 @@
 
     /// Sends steps to the queued requests; a grant whose request is gone is released, which
     /// may admit the next one.
-    fn apply_steps(&mut self, now: Instant, steps: Vec<Step>) {
+    fn apply_steps(&mut self, now: Instant, steps: Vec<QueueStep>) {
         let mut unclaimed = self.send_steps(steps);
         while let Some(grant) = unclaimed.pop() {
             let steps = self
@@ -162,7 +162,7 @@
     /// # Errors
     ///
     /// The reason for a refusal, or that the deadline has passed.
-    pub async fn admit(&self, key: &str, offer: Offer) -> Result<Permit, ErrorKind> {
+    pub async fn admit(&self, key: &str, offer: PoolRequest) -> Result<Permit, ErrorKind> {
         let handle = self.handle(key).ok_or(ErrorKind::NoUpstream)?;
         let (wait, answer) = {
             let owned = &mut *lock(&handle.owned);
--- a/crates/caller/src/at_most_once.rs
+++ b/crates/caller/src/at_most_once.rs
@@ -11,8 +11,8 @@
 use hyper::header::{self, HeaderMap};
 use sha2::{Digest, Sha256};
 use steering::claim::{
-    AttemptId, CLAIM_DISPATCH_WINDOW, ClaimOutcome, Ending, Fingerprint, Receipt, Spend,
-    fingerprint, judge,
+    AttemptId, CLAIM_DISPATCH_WINDOW, ClaimOutcome, Fingerprint, Receipt, TicketDecision,
+    WorkOutcome, decide_existing_claim, fingerprint,
 };
 use steering::document::TicketMode;
 use steering::error::{ErrorKind, NotRun};
@@ -76,7 +76,7 @@
     let Some(ticket_text) = ticket_text else {
         return run_with_key(shared, head, body, fingerprint).await;
     };
-    let ticket = ticket::read(ticket_text).map_err(|_| ErrorKind::TicketInvalid)?;
+    let ticket = ticket::decode_unverified(ticket_text).map_err(|_| ErrorKind::TicketInvalid)?;
     if shared.issuer.issued(&ticket) {
         let now = clock::elapsed(shared.started);
         let ticket = match shared.issuer.verify(ticket_text, &head.service, now) {
@@ -155,7 +155,7 @@
         // an earlier time, so one that must still be remembered is found here.
         let now = clock::now();
         let remembered = now < expiry_of(shared, ticket) + shared.config.ticket_ttl;
-        (spent.recall(&ticket.id, fingerprint), remembered)
+        (spent.status(&ticket.id, fingerprint), remembered)
     };
     if let Some(spent) = recalled {
         return answer_without_running(spent, ticket.mode);
@@ -164,20 +164,25 @@
         return Err(ErrorKind::TicketLapsed.into());
     }
     match shared.claims.find(ticket.id.clone()).await {
-        Ok(Some(row)) => answer_without_running(judge(&row, fingerprint, false), ticket.mode),
+        Ok(Some(row)) => {
+            answer_without_running(decide_existing_claim(&row, fingerprint, false), ticket.mode)
+        }
         Ok(None) | Err(_) => Err(ErrorKind::OutcomeUnknown.into()),
     }
 }
 
 /// The answer for a request that is not run now.
-fn answer_without_running(spent: Spend, mode: TicketMode) -> Result<Response<Body>, Failure> {
+fn answer_without_running(
+    spent: TicketDecision,
+    mode: TicketMode,
+) -> Result<Response<Body>, Failure> {
     match spent {
-        Spend::Replay(ending) => replay(ending),
-        Spend::Conflict => Err(ErrorKind::TicketConflict.into()),
-        Spend::Run | Spend::InProgress => Err(ErrorKind::InProgress.into()),
-        Spend::Full if mode == TicketMode::Home => Err(ErrorKind::HostBusy.into()),
+        TicketDecision::Replay(ending) => replay(ending),
+        TicketDecision::Conflict => Err(ErrorKind::TicketConflict.into()),
+        TicketDecision::Run | TicketDecision::InProgress => Err(ErrorKind::InProgress.into()),
+        TicketDecision::Full if mode == TicketMode::Home => Err(ErrorKind::HostBusy.into()),
         // Another host may have run the request.
-        Spend::Full => Err(Failure::before_ticket(ErrorKind::HostBusy)),
+        TicketDecision::Full => Err(Failure::before_ticket(ErrorKind::HostBusy)),
     }
 }
 
@@ -196,7 +201,9 @@
     // In mode `home` only the host that issued the ticket runs the request. Without a
     // receipt it may have run there.
     match shared.claims.find(ticket.id.clone()).await {
-        Ok(Some(row)) => answer_without_running(judge(&row, &fingerprint, true), ticket.mode),
+        Ok(Some(row)) => {
+            answer_without_running(decide_existing_claim(&row, &fingerprint, true), ticket.mode)
+        }
         Ok(None) | Err(_) => Err(ErrorKind::OutcomeUnknown.into()),
     }
 }
@@ -270,13 +277,13 @@
     body: WorkBody,
     execution: Execution,
 ) -> Result<Response<Body>, Failure> {
-    let spend = shared.spent().spend(
+    let spend = shared.spent().begin(
         clock::now(),
         &execution.id,
         &execution.fingerprint,
         execution.forget_at,
     );
-    if spend != Spend::Run {
+    if spend != TicketDecision::Run {
         return answer_without_running(spend, execution.mode);
     }
     let shared = Arc::clone(shared);
@@ -300,11 +307,11 @@
     {
         return match answer {
             Ok(ending) => {
-                shared.spent().end(&execution.id, ending.clone());
+                shared.spent().complete(&execution.id, ending.clone());
                 replay(ending)
             }
             Err(kind) => {
-                shared.spent().give_back(&execution.id);
+                shared.spent().release(&execution.id);
                 Err(kind.into())
             }
         };
@@ -321,7 +328,7 @@
         Err(failure) => {
             let ending = match failure.not_run {
                 NotRun::True => None,
-                NotRun::False | NotRun::Unknown => Some(Ending::Unknown),
+                NotRun::False | NotRun::Unknown => Some(WorkOutcome::Unknown),
             };
             finish(shared, &execution, ending);
             Err(failure)
@@ -337,7 +344,7 @@
 async fn claim(
     shared: &SharedState,
     execution: &Execution,
-) -> Result<(), Result<Ending, ErrorKind>> {
+) -> Result<(), Result<WorkOutcome, ErrorKind>> {
     let outcome = shared
         .claims
         .claim(
@@ -368,9 +375,9 @@
     }
     let same_host = row.host == view.me.name;
     let holder_is_gone = same_host || view.host(&row.host).is_none();
-    match judge(&row, &execution.fingerprint, holder_is_gone) {
-        Spend::Replay(ending) => Err(Ok(ending)),
-        Spend::Conflict => Err(Err(ErrorKind::TicketConflict)),
+    match decide_existing_claim(&row, &execution.fingerprint, holder_is_gone) {
+        TicketDecision::Replay(ending) => Err(Ok(ending)),
+        TicketDecision::Conflict => Err(Err(ErrorKind::TicketConflict)),
         _ => Err(Err(ErrorKind::InProgress)),
     }
 }
@@ -408,26 +415,26 @@
     match hold(body, shared.config.limits.kept_answer_bytes).await {
         Ok(Held::Whole(bytes)) => {
             receipt.body = Some(bytes.clone());
-            finish(shared, execution, Some(Ending::Ran(receipt)));
+            finish(shared, execution, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, full(bytes)))
         }
         Ok(Held::Streaming(body)) => {
-            finish(shared, execution, Some(Ending::Ran(receipt)));
+            finish(shared, execution, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, body))
         }
         Err(_) => {
             // The request ran, but its response is lost.
-            finish(shared, execution, Some(Ending::Ran(receipt)));
+            finish(shared, execution, Some(WorkOutcome::Ran(receipt)));
             Err(ErrorKind::AnswerNotKept.into())
         }
     }
 }
 
 /// Records how the execution ended; `None` if the request did not run.
-fn finish(shared: &SharedState, execution: &Execution, ending: Option<Ending>) {
+fn finish(shared: &SharedState, execution: &Execution, ending: Option<WorkOutcome>) {
     match &ending {
-        Some(ending) => shared.spent().end(&execution.id, ending.clone()),
-        None => shared.spent().give_back(&execution.id),
+        Some(ending) => shared.spent().complete(&execution.id, ending.clone()),
+        None => shared.spent().release(&execution.id),
     }
     let has_claim = execution.mode == TicketMode::Store;
     if ending.is_some() || has_claim {
@@ -439,8 +446,8 @@
 }
 
 /// The response of an earlier run, rebuilt from its receipt.
-fn replay(ending: Ending) -> Result<Response<Body>, Failure> {
-    let Ending::Ran(receipt) = ending else {
+fn replay(ending: WorkOutcome) -> Result<Response<Body>, Failure> {
+    let WorkOutcome::Ran(receipt) = ending else {
         return Err(ErrorKind::OutcomeUnknown.into());
     };
     let Some(body) = receipt.body else {
--- a/crates/caller/src/claims.rs
+++ b/crates/caller/src/claims.rs
@@ -1,7 +1,7 @@
 //! Interface to the store of claims and receipts of at-most-once requests.
 
 use futures::future::BoxFuture;
-use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Ending, Fingerprint};
+use steering::claim::{AttemptId, ClaimOutcome, ClaimRow, Fingerprint, WorkOutcome};
 use steering::ids::ClaimId;
 
 /// Claims and receipts in the platform's store.
@@ -23,7 +23,7 @@
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
-        ending: Option<Ending>,
+        ending: Option<WorkOutcome>,
     );
 
     /// Reads a claim; `None` if there is no row.
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -8,12 +8,12 @@
 
 use futures::future::{Either, select};
 use hyper::{Request, Response, header};
-use steering::choice::choose_places;
+use steering::choice::rank_zones;
 use steering::error::{ErrorKind, NotRun};
 use steering::limiter::LimitKey;
 use steering::membership::HostEntry;
 use steering::pool::PoolLoad;
-use steering::retry::Attempt;
+use steering::retry::FailedAttempt;
 use steering::view::Target;
 use tokio::time::sleep;
 use upstream::{Body, Reuse, SendError, WorkBody};
@@ -83,7 +83,7 @@
     head: &RequestHead,
     body: &mut WorkBody,
 ) -> Result<Response<Body>, Failure> {
-    shared.with_budget(&head.service, |budget| budget.first());
+    shared.with_budget(&head.service, |budget| budget.record_first_attempt());
     let candidates = candidates(shared, head);
     if candidates.is_empty() {
         return Err(ErrorKind::NoUpstream.into());
@@ -107,10 +107,11 @@
                     fallbacks <= MAX_FALLBACKS && fallbacks < candidates.len(),
                 )
             }
-            AttemptError::NotRun(kind) => (kind, may_retry(shared, head, Attempt::NotRun)),
-            AttemptError::MayHaveRun(_) | AttemptError::Silent => {
-                (error.kind(), may_retry(shared, head, Attempt::MayHaveRun))
-            }
+            AttemptError::NotRun(kind) => (kind, may_retry(shared, head, FailedAttempt::NotRun)),
+            AttemptError::MayHaveRun(_) | AttemptError::Silent => (
+                error.kind(),
+                may_retry(shared, head, FailedAttempt::MayHaveRun),
+            ),
         };
         let in_time = clock::now() < head.deadline;
         if !again || !in_time || attempts >= MAX_ATTEMPTS {
@@ -133,7 +134,7 @@
         }
         AttemptError::MayHaveRun(_) | AttemptError::Silent => NotRun::Unknown,
     };
-    if kind.answer().not_run == not_run {
+    if kind.response().not_run == not_run {
         return Failure { kind, not_run };
     }
     match not_run {
@@ -142,8 +143,10 @@
     }
 }
 
-fn may_retry(shared: &SharedState, head: &RequestHead, last: Attempt) -> bool {
-    shared.with_budget(&head.service, |budget| budget.again(last, head.repeatable))
+fn may_retry(shared: &SharedState, head: &RequestHead, last: FailedAttempt) -> bool {
+    shared.with_budget(&head.service, |budget| {
+        budget.try_spend_retry(last, head.repeatable)
+    })
 }
 
 /// Zones that may serve the request, best first.
@@ -161,7 +164,7 @@
     let views: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
     let from = view.plan.region(&view.me.zone);
     let mut rng = rand::rng();
-    choose_places(&views, &mut rng)
+    rank_zones(&views, &mut rng)
         .into_iter()
         .filter_map(|index| {
             let target = &targets[index];
@@ -171,7 +174,7 @@
                 owners: view.owners(zone, &pool).into_iter().cloned().collect(),
                 limits: view.plan.limits_of(rule, from, zone),
                 priority: service.service.priority,
-                own_in_flight: view.own_count(&head.service, zone).cloned(),
+                own_in_flight: view.own_in_flight_count(&head.service, zone).cloned(),
                 hedge_delay: hedge_delay(target),
                 zone: zone.clone(),
                 pool,
@@ -209,7 +212,7 @@
             break;
         }
     }
-    if !may_retry(shared, head, Attempt::MayHaveRun) {
+    if !may_retry(shared, head, FailedAttempt::MayHaveRun) {
         return first.await;
     }
     tracing::debug!(event = "hedge", id = head.id, zone = candidate.zone);
--- /dev/null
+++ b/crates/gateway/src/control/known_state.rs
@@ -0,0 +1,351 @@
+//! The state that the control thread knows, and the view derived from it.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use steering::ids::{HostName, RegionName, ServiceName, ZoneName};
+use steering::route::{
+    Catalog, CatalogChange, Changes, CustomerTable, DocumentChange, Evacuations, Feed, FeedDigest,
+    HostTable, ObservedState, Record, RouteDocument, RouteTable, RouteView, ServicePool,
+    StoreAnswers, StoreUptime,
+};
+
+use super::origin::Origin;
+use crate::host::Common;
+
+/// Most unreadable reports that are remembered, so that each is logged once.
+const MAX_REFUSED_REPORTS: usize = 1_000;
+
+/// Largest difference between hosts' accounts of one recovery of the store, since messages between
+/// hosts take up to a second.
+const RECOVERY_TOLERANCE: Duration = Duration::from_secs(1);
+
+/// The control thread's state of routes, upstreams and hosts.
+pub(super) struct KnownState {
+    regions: BTreeMap<ZoneName, RegionName>,
+    document: Arc<RouteDocument>,
+    table: Arc<RouteTable>,
+    customers: Arc<CustomerTable>,
+    evacuations: Evacuations,
+    catalog: Catalog,
+    store: StoreAnswers,
+    conditions: ObservedState,
+    pub roll: HostTable,
+    /// Upstreams by service; none while they have to be computed again.
+    pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
+    /// Whether the upstreams' reports had been read when the last view was made.
+    upstreams_loaded: bool,
+    /// Whether other hosts have been asked which requests they refuse because of crashes.
+    pub refused_work_loaded: bool,
+    /// Hosts in the last view; compared to detect changes caused by time alone.
+    advertised: BTreeMap<RegionName, Vec<SocketAddr>>,
+    near_hosts: Option<Vec<HostName>>,
+    /// Keys of unreadable reports that were logged.
+    refused_reports: BTreeSet<String>,
+    sharers: Option<usize>,
+    me: HostName,
+    region: RegionName,
+}
+
+impl KnownState {
+    pub fn new(common: &Common) -> Self {
+        KnownState {
+            regions: common.settings.regions.clone(),
+            document: Arc::default(),
+            table: Arc::default(),
+            customers: Arc::default(),
+            evacuations: Evacuations::default(),
+            catalog: Catalog::default(),
+            store: StoreAnswers::default(),
+            conditions: ObservedState::default(),
+            roll: HostTable::new(&common.settings.host),
+            pools: None,
+            upstreams_loaded: false,
+            refused_work_loaded: false,
+            advertised: BTreeMap::new(),
+            near_hosts: None,
+            refused_reports: BTreeSet::new(),
+            sharers: None,
+            me: common.settings.host.clone(),
+            region: common.settings.region.clone(),
+        }
+    }
+
+    /// Records that a call of this host to the store failed.
+    pub fn store_failed(&mut self) {
+        self.store.failed();
+    }
+
+    /// Records that the store answered this host.
+    pub fn store_answered(&mut self, now: Instant, stale_after: Duration) {
+        self.store.answered(now, stale_after);
+        let me = self.me.clone();
+        self.record_store_recovery(&me);
+    }
+
+    /// Applies another host's account of the store's availability.
+    pub fn store_reported(
+        &mut self,
+        now: Instant,
+        from: &str,
+        reported: StoreUptime,
+        stale_after: Duration,
+    ) {
+        self.store.merge(now, reported, stale_after);
+        self.record_store_recovery(from);
+    }
+
+    /// This host's account of the store's availability, as sent to other hosts.
+    pub fn store_answers(&self, now: Instant) -> StoreUptime {
+        self.store.uptime(now)
+    }
+
+    fn record_store_recovery(&mut self, seen_by: &str) {
+        let (before, recovered) = (self.catalog.store_returned_at(), self.store.returned_at());
+        match (before, recovered) {
+            (Some(_), None) => tracing::info!(event = "store_was_not_away", seen_by),
+            (_, Some(recovered))
+                if before.is_none_or(|before| recovered > before + RECOVERY_TOLERANCE) =>
+            {
+                let ago_ms = clock::elapsed(recovered).as_millis() as u64;
+                tracing::info!(event = "store_returned", seen_by, ago_ms);
+            }
+            _ => {}
+        }
+        self.catalog.store_returned(recovered);
+    }
+
+    /// Whether reports that disappeared are still listed although the time to wait for them is
+    /// over.
+    pub fn has_overdue_reports(&self, now: Instant) -> bool {
+        self.catalog.grace_until(now).is_none() && self.catalog.has_missing()
+    }
+
+    /// When the state changes next without an update; none if no such time is known.
+    pub fn next_change(&self, now: Instant) -> Option<Instant> {
+        self.catalog.grace_until(now)
+    }
+
+    /// Applies changes of a feed. Returns the records to pass on to other hosts, in order.
+    pub fn apply(
+        &mut self,
+        now: Instant,
+        feed: Feed,
+        changes: Changes,
+        origin: Origin,
+    ) -> Vec<Record> {
+        let passed_on = match feed {
+            Feed::Routes => self.apply_routes(now, changes),
+            Feed::Upstreams => self.apply_upstreams(now, &changes, origin),
+            Feed::Hosts => return self.apply_hosts(now, &changes),
+        };
+        if !passed_on.is_empty() {
+            self.pools = None;
+        }
+        passed_on
+    }
+
+    /// All current records of a feed.
+    pub fn state(&self, now: Instant, feed: Feed) -> Vec<Record> {
+        match feed {
+            Feed::Routes => {
+                let zones = self.evacuations.wanted.iter().cloned();
+                let evacuations = zones.map(|zone| Record::Evacuation { zone, wanted: true });
+                let document = Record::Document(Box::new((*self.document).clone()));
+                evacuations.chain([document]).collect()
+            }
+            Feed::Upstreams => self.catalog.state(now),
+            Feed::Hosts => {
+                let rows = self.roll.list().rows();
+                rows.cloned().map(Record::Host).collect()
+            }
+        }
+    }
+
+    /// Digest of all current records of a feed.
+    pub fn digest(&self, feed: Feed) -> FeedDigest {
+        match feed {
+            Feed::Routes => self.evacuations.digest() ^ self.document.version,
+            Feed::Upstreams => self.catalog.digest(),
+            Feed::Hosts => self.roll.list().digest(),
+        }
+    }
+
+    fn apply_routes(&mut self, now: Instant, changes: Changes) -> Vec<Record> {
+        let mut passed_on = Vec::new();
+        let mut evacuated = match changes.whole {
+            true => BTreeSet::new(),
+            false => self.evacuations.wanted.clone(),
+        };
+        for record in changes.records {
+            match record {
+                Record::Document(document) => passed_on.extend(self.apply_document(*document)),
+                Record::DocumentChange(change) => {
+                    let document = change.apply(&self.document);
+                    passed_on.extend(document.and_then(|document| self.apply_document(document)));
+                }
+                Record::Evacuation { zone, wanted: true } => drop(evacuated.insert(zone)),
+                Record::Evacuation { zone, .. } => drop(evacuated.remove(&zone)),
+                Record::Unusable { key, reason } => {
+                    let version = self.document.version;
+                    tracing::warn!(event = "document_refused", key, reason, in_force = version);
+                    passed_on.push(Record::Unusable { key, reason });
+                }
+                _ => {}
+            }
+        }
+        let changed = self.evacuations.take(now, evacuated);
+        if !changed.is_empty() {
+            tracing::info!(event = "evacuations", zones = ?self.evacuations.wanted);
+        }
+        passed_on.extend(changed);
+        passed_on
+    }
+
+    /// Applies a document if it is newer than the one in force. Returns the change to pass on to
+    /// other hosts.
+    fn apply_document(&mut self, document: RouteDocument) -> Option<Record> {
+        let (version, before) = (document.version, self.document.version);
+        if version <= before {
+            return None;
+        }
+        let routes = document.routes.len();
+        tracing::info!(event = "document_taken", version, before, routes);
+        let change = DocumentChange::between(&self.document, &document);
+        self.table = Arc::new(RouteTable::new(&document));
+        self.customers = Arc::new(CustomerTable::new(&document.customers));
+        self.document = Arc::new(document);
+        Some(Record::DocumentChange(Box::new(change)))
+    }
+
+    fn apply_upstreams(&mut self, now: Instant, changes: &Changes, origin: Origin) -> Vec<Record> {
+        for record in &changes.records {
+            if let Record::Unusable { key, reason } = record {
+                // The upstream may write an unreadable report again with each heartbeat.
+                if self.refused_reports.len() < MAX_REFUSED_REPORTS
+                    && self.refused_reports.insert(key.clone())
+                {
+                    tracing::warn!(event = "report_refused", upstream = key, reason);
+                }
+            }
+        }
+        let applied = self.catalog.apply(now, changes);
+        for change in &applied {
+            log_change(change, origin);
+        }
+        applied.iter().map(Record::from).collect()
+    }
+
+    fn apply_hosts(&mut self, now: Instant, changes: &Changes) -> Vec<Record> {
+        for record in &changes.records {
+            if let Record::Unusable { key, reason } = record {
+                tracing::warn!(event = "row_refused", row = key, reason);
+            }
+        }
+        self.roll.apply(now, changes)
+    }
+
+    /// Removes expired entries. Returns whether the next view differs from the last one.
+    pub fn expire(&mut self, now: Instant) -> bool {
+        let dropped = self.catalog.expire(now);
+        if dropped {
+            self.pools = None;
+        }
+        let (sharers, near_hosts) = self.sharing_hosts(now);
+        let sharers_changed = sharers != self.sharers || near_hosts != self.near_hosts;
+        let loaded = self.catalog.is_read() != self.upstreams_loaded;
+        dropped || sharers_changed || loaded || self.advertised_hosts(now) != self.advertised
+    }
+
+    /// Builds a view of the current state.
+    pub fn view(&mut self, now: Instant) -> RouteView {
+        let advertised = self.advertised_hosts(now);
+        if advertised != self.advertised {
+            tracing::info!(event = "hosts_named", hosts = ?advertised);
+        }
+        self.advertised = advertised;
+        (self.sharers, self.near_hosts) = self.sharing_hosts(now);
+        self.upstreams_loaded = self.catalog.is_read();
+        let pools = self.pools.get_or_insert_with(|| {
+            let pools = RouteView::pools(
+                &self.document,
+                &self.catalog,
+                &self.evacuations,
+                &self.regions,
+                &mut self.conditions,
+                now,
+            );
+            pools.into()
+        });
+        RouteView {
+            version: self.document.version,
+            limits: self.document.limits,
+            table: Arc::clone(&self.table),
+            customers: Arc::clone(&self.customers),
+            upstreams_loaded: self.upstreams_loaded,
+            refused_work_loaded: self.refused_work_loaded,
+            services: Arc::clone(pools),
+            hosts: self.advertised.clone(),
+            sharing_hosts: self.sharers,
+            region_hosts: self.near_hosts.clone(),
+        }
+    }
+
+    /// The number of hosts that share limits, and the names of those in the own region; none while
+    /// this host has no share of any limit.
+    fn sharing_hosts(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
+        let others = self.roll.sharing_hosts(now);
+        let Some(others) = others.filter(|_| self.roll.has_share(now)) else {
+            return (None, None);
+        };
+        let mut near = vec![self.me.clone()];
+        let mut count = 1;
+        for host in others {
+            count += 1;
+            if self.regions.get(&host.zone) == Some(&self.region) {
+                near.push(host.name.clone());
+            }
+        }
+        (Some(count), Some(near))
+    }
+
+    /// Version of the document in force.
+    pub fn version(&self) -> u64 {
+        self.document.version
+    }
+
+    /// Caller addresses of the other hosts that callers may be sent to, by region.
+    fn advertised_hosts(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
+        let mut advertised: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
+        for host in self.roll.advertised(now) {
+            if let Some(region) = self.regions.get(&host.entry.zone) {
+                let addresses = advertised.entry(region.clone()).or_default();
+                addresses.push(host.entry.caller_address);
+            }
+        }
+        advertised
+    }
+}
+
+fn log_change(change: &CatalogChange, origin: Origin) {
+    let (source, age_ms) = (
+        origin.source,
+        clock::elapsed(origin.as_of).as_millis() as u64,
+    );
+    match change {
+        CatalogChange::Removed { id, at_once } => {
+            tracing::info!(event = "upstream_gone", upstream = id, at_once, %source, age_ms);
+        }
+        CatalogChange::Reported(report) => tracing::info!(
+            event = "upstream_reported",
+            upstream = report.id,
+            service = report.service,
+            draining = report.draining,
+            cold_ms = report.cold_for.as_millis() as u64,
+            %source,
+            age_ms
+        ),
+    }
+}
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -1,7 +1,7 @@
-//! Learns from other hosts what the store says, so that few hosts ask it.
+//! Reads feeds from other hosts, so that few hosts have to poll the store.
 //!
-//! Where all hosts of a large deployment start at once, a thousand rows for each of them
-//! would be most of what the store ever has to tell.
+//! When all hosts of a large deployment start at once, reading a thousand rows for each of them
+//! would be most of the load that the store ever gets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,117 +16,123 @@
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
-/// Times the longest time without news up to which a host's knowledge is of use to one that
-/// could ask the store instead.
-const STATE_AGE_MOST: u32 = 2;
-/// Pause before a host that has nothing to tell yet is asked again.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
-/// Time after which a host that has started asks the store itself. Where all start at once
-/// three steps from host to host take less.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+/// Multiple of the time after which a feed is stale. A starting host, which could read the store
+/// instead, accepts no state from another host that is older than this.
+const MAX_STATE_AGE_FACTOR: u32 = 2;
+/// Pause before a host that has no state yet is asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time after which a starting host reads the store itself. When all hosts start at once, passing
+/// the state on over three hosts takes less.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Control {
-    /// Learns all that a feed says from hosts of the own group, where any is there.
-    pub(super) async fn learn_at_start(&self, feed: Feed) {
-        // It ends without an answer too: then the store is asked, and tells it.
-        let _ = timeout(PATIENCE, self.learn(feed)).await;
+    /// Reads a whole feed from hosts of the own group, if there are any.
+    pub(super) async fn load_from_group(&self, feed: Feed) {
+        // After a timeout the feed is read from the store.
+        let _ = timeout(LOAD_TIMEOUT, self.load_feed(feed)).await;
     }
 
-    async fn learn(&self, feed: Feed) {
-        self.until_list_asked().await;
-        let most_age = self.follower(feed, |own| own.lead.stale_after()) * STATE_AGE_MOST;
+    async fn load_feed(&self, feed: Feed) {
+        self.wait_until_hosts_requested().await;
+        let max_age =
+            self.with_follower(feed, |follower| follower.lead.stale_after()) * MAX_STATE_AGE_FACTOR;
         let query = StateQuery {
             feed,
             after: None,
-            most_age: Some(most_age),
+            most_age: Some(max_age),
         };
-        for elder in self.elders(feed) {
-            while let Ok(answer) = ask_state(elder.peer_address, query, HOST_ANSWER_LIMIT).await {
-                match answer.filter(|state| self.is_new(feed, state)) {
-                    Some(state) => return self.learned(feed, &elder, state),
-                    None => sleep(AGAIN_AFTER).await,
+        for host in self.hosts_to_ask(feed) {
+            while let Ok(answer) = ask_state(host.peer_address, query, HOST_ANSWER_LIMIT).await {
+                match answer.filter(|state| self.is_current(feed, state)) {
+                    Some(state) => return self.apply_loaded(feed, &host, state),
+                    None => sleep(RETRY_DELAY).await,
                 }
             }
         }
     }
 
-    /// Hosts of the group to ask, in order; none in a deployment of one group, whose hosts
-    /// start faster where each reads the few rows itself.
-    fn elders(&self, feed: Feed) -> Vec<HostEntry> {
+    /// Hosts of the group to ask, in order. Empty if the deployment is a single group: its hosts
+    /// start faster when each reads the few rows itself.
+    fn hosts_to_ask(&self, feed: Feed) -> Vec<HostEntry> {
         if self.is_one_group() {
             return Vec::new();
         }
         let group = self.group();
         let names = group.iter().map(|host| host.name.as_str());
-        let elders: Vec<String> = self.follower(feed, |own| {
-            let elders = own.lead.elders(names);
-            elders.into_iter().map(str::to_owned).collect()
+        let names_to_ask: Vec<String> = self.with_follower(feed, |follower| {
+            let names_to_ask = follower.lead.bootstrap_hosts(names);
+            names_to_ask.into_iter().map(str::to_owned).collect()
         });
         let find = |name: &String| group.iter().find(|host| host.name == *name).cloned();
-        elders.iter().filter_map(find).collect()
+        names_to_ask.iter().filter_map(find).collect()
     }
 
-    fn is_new(&self, feed: Feed, state: &FeedState) -> bool {
-        self.follower(feed, |own| own.newest) <= state.changes.version
+    fn is_current(&self, feed: Feed, state: &FeedState) -> bool {
+        self.with_follower(feed, |follower| follower.newest) <= state.changes.version
     }
 
-    fn learned(&self, feed: Feed, from: &HostEntry, state: FeedState) {
+    fn apply_loaded(&self, feed: Feed, from: &HostEntry, state: FeedState) {
         let FeedState { changes, as_of } = state;
         let version = changes.version;
         tracing::info!(event = "learned_from_host", feed = %feed, from = from.name, version);
         let source = Source::State;
-        let records = self.take(feed, changes, Origin { source, as_of });
-        self.follower(feed, |own| {
-            own.learned(version, as_of);
-            own.keep(version, true, records);
+        let records = self.apply(feed, changes, Origin { source, as_of });
+        self.with_follower(feed, |follower| {
+            follower.loaded(version, as_of);
+            follower.keep_recent(version, true, records);
         });
     }
 
-    /// Learns from those who tell of it what this host lacks, for ever.
+    /// Requests missing records from the hosts that sent newer updates, until the task is aborted.
     ///
-    /// It waits for no call to the store: while the store gave one host no answer and another
-    /// feed held the turn, that host took nothing of what it was told, for as long as it lasted.
+    /// This runs independently of calls to the store. Otherwise, while the store does not answer
+    /// and another feed holds the turn to call it, a host would apply no updates from other hosts
+    /// for as long as the outage lasts.
     pub(super) async fn fill_gaps(self: Rc<Self>, feed: Feed) {
-        let gap = self.follower(feed, |own| Rc::clone(&own.gap));
+        let gap = self.with_follower(feed, |follower| Rc::clone(&follower.gap));
         loop {
             gap.notified().await;
-            if let Some(missing) = self.follower(feed, Follower::take_missing) {
-                self.fill(feed, &missing).await;
-                self.follower(feed, Follower::end_filling);
+            if let Some(missing) = self.with_follower(feed, Follower::take_missing) {
+                self.fill_gap(feed, &missing).await;
+                self.with_follower(feed, Follower::end_filling);
             }
         }
     }
 
-    /// Asks the host that has told of something for what is missing here.
-    async fn fill(&self, feed: Feed, missing: &Missing) {
-        let (version, reaches_store) =
-            self.follower(feed, |own| (own.version, own.lead.reaches_store()));
+    /// Requests the missing records from the host that has them.
+    async fn fill_gap(&self, feed: Feed, missing: &Missing) {
+        let (version, reaches_store) = self.with_follower(feed, |follower| {
+            (follower.version, follower.lead.reaches_store())
+        });
         let is_filled = self.fill_after(feed, missing, version).await;
-        // All of it takes many times the bytes, but who can't ask the store has nobody else.
+        // The whole feed is many times larger, but a host that can't reach the store has no other
+        // source.
         if !is_filled && version.is_some() && !reaches_store {
             self.fill_after(feed, missing, None).await;
         }
     }
 
-    /// Asks for what follows a version, or for all; true where nothing is missing any more.
+    /// Requests the records after a version, or the whole feed. Returns whether the gap is closed.
     async fn fill_after(&self, feed: Feed, missing: &Missing, after: Option<FeedVersion>) -> bool {
-        let Missing { teller, digest } = missing;
+        let Missing { sender, digest } = missing;
         let query = StateQuery {
             feed,
             after,
             most_age: None,
         };
-        let begun = clock::now();
-        let answer = ask_state(teller.peer_address, query, HOST_ANSWER_LIMIT).await;
-        self.follower(feed, |own| own.waited(Wait::Host, begun));
+        let started_at = clock::now();
+        let answer = ask_state(sender.peer_address, query, HOST_ANSWER_LIMIT).await;
+        self.with_follower(feed, |follower| {
+            follower.record_wait(Wait::Host, started_at)
+        });
         let state = match answer {
-            Ok(Some(state)) if self.is_new(feed, &state) => state,
+            Ok(Some(state)) if self.is_current(feed, &state) => state,
             Ok(_) => {
                 count_gap(feed, "not_told");
                 return false;
             }
             Err(error) => {
-                tracing::debug!(event = "teller_not_heard", feed = %feed, teller = teller.name, %error);
+                tracing::debug!(event = "teller_not_heard", feed = %feed, teller = sender.name, %error);
                 count_gap(feed, "not_heard");
                 return false;
             }
@@ -134,19 +140,20 @@
         let FeedState { changes, as_of } = state;
         let (version, whole) = (changes.version, changes.whole);
         let source = Source::State;
-        let records = self.take(feed, changes, Origin { source, as_of });
-        // The teller may have gone on since: then its next news show whether all is there.
-        let is_filled = whole || self.beliefs.borrow().digest(feed) == *digest;
+        let records = self.apply(feed, changes, Origin { source, as_of });
+        // The other host may have advanced since. Its next update then shows whether anything is
+        // missing.
+        let is_filled = whole || self.known_state.borrow().digest(feed) == *digest;
         count_gap(feed, if is_filled { "filled" } else { "lacks_more" });
         if !is_filled {
-            self.follower(feed, |own| own.hold_back(records));
+            self.with_follower(feed, |follower| follower.hold_back(records));
             return false;
         }
-        let records = self.follower(feed, |own| {
-            own.filled(version, as_of);
-            own.keep(version, whole, records)
+        let records = self.with_follower(feed, |follower| {
+            follower.gap_filled(version, as_of);
+            follower.keep_recent(version, whole, records)
         });
-        self.pass_on(&teller.name, feed, records);
+        self.forward_to_group(&sender.name, feed, records);
         true
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,75 +5,78 @@
 use std::time::Duration;
 
 use steering::ids::{HostName, RegionName, ZoneName};
-use steering::route::AllowanceTerms;
+use steering::route::AllowanceTolerance;
 
-/// Where a host stands, listens, and what operators ask of it.
+/// Location, addresses and bounds of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of the host.
+    /// Name of the host, unique in the deployment.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionName,
-    /// Region of every zone, its own included.
+    /// Region of every availability zone of the deployment, including the own one.
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// For callers' requests.
+    /// Address for callers' requests. Port 0 selects a free port, for this and the other addresses
+    /// to listen on.
     pub caller_address: SocketAddr,
-    /// For checks whether the host is ready.
+    /// Address for readiness checks.
     pub ready_address: SocketAddr,
-    /// For callers' look-ups.
+    /// Address for callers' host lookups.
     pub look_up_address: SocketAddr,
-    /// For messages of other hosts.
+    /// Address for messages of other hosts.
     pub peer_address: SocketAddr,
-    /// For whoever reads the metrics; none where nobody may.
+    /// Address for metrics and operators' commands; none to serve neither.
     pub metrics_address: Option<SocketAddr>,
-    /// Peer addresses of some hosts; may be stale.
+    /// Peer addresses of some hosts, which a starting host asks if the store does not answer; may
+    /// be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time, so that all its hosts start
-    /// at once and none is listed yet.
+    /// Whether the whole deployment starts for the first time, so that all hosts start at once and
+    /// none is listed in the store.
     pub first_start: bool,
-    /// Of the store.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// Files and sockets that the process may have open.
+    /// Number of files and sockets that the process may have open.
     pub open_files: u32,
-    /// What operators ask.
+    /// Bounds set by operators.
     pub bounds: Bounds,
 }
 
-/// Bounds that operators state. The defaults hold where they state none.
+/// Bounds set by operators, with defaults for those not set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time between the signal to stop and the end.
-    pub grace: Duration,
-    /// Time after which an upstream that drains gets nothing.
-    pub drain: Duration,
-    /// Time after which a document is in force on every host.
-    pub apply: Duration,
-    /// Time after which a host that was cut off counts as in touch again.
-    pub contact: Duration,
-    /// Repeats for each request to a service, over all hosts.
-    pub repeat_ratio: f64,
-    /// Span over which repeats are counted.
-    pub repeat_window: Duration,
-    /// Repeats besides, in that span, over all hosts.
-    pub repeat_spare: f64,
-    /// Times of what a cold upstream bears that it may receive in a second.
-    pub cold_times: f64,
-    /// Requests besides that it may receive in a second.
-    pub cold_spare: f64,
-    /// How closely customers' allowances are kept.
-    pub allowances: AllowanceTerms,
-    /// Longest time for which a look-up's answer may hold.
-    pub look_up_ttl_most: Duration,
-    /// Share of a region's requests that may change the region that serves them, from
-    /// one 2 s window to the next.
-    pub shift_most: f64,
+    /// Time from the signal to stop until the host ends.
+    pub grace_period: Duration,
+    /// Time within which a draining upstream stops receiving requests.
+    pub drain_time: Duration,
+    /// Time within which a new document is in force on every host.
+    pub document_apply_time: Duration,
+    /// Time within which a host that was cut off is in contact again.
+    pub reconnect_time: Duration,
+    /// Retries per request to a service, over all hosts.
+    pub retry_ratio: f64,
+    /// Time window over which retries are counted.
+    pub retry_window: Duration,
+    /// Additional retries in a window, over all hosts.
+    pub retry_slack: f64,
+    /// Rate of requests to an upstream that is warming up, as a multiple of the rate that it can
+    /// serve.
+    pub warm_up_overage: f64,
+    /// Additional requests per second to an upstream that is warming up.
+    pub warm_up_slack: f64,
+    /// How closely customers' allowances are enforced.
+    pub allowances: AllowanceTolerance,
+    /// Longest time for which the answer to a host lookup may be valid.
+    pub max_lookup_ttl: Duration,
+    /// Largest fraction of a region's requests that may move to another region from one 2 s window
+    /// to the next.
+    pub max_region_shift: f64,
 }
 
 impl GatewaySettings {
-    /// Names of the settings that differ in `other` and hold for the life of a process.
-    /// Addresses with port 0, and those that settings do not hold, differ from nothing.
+    /// Names of the settings that differ in `other` and require a restart. An address in `other`
+    /// with port 0, which stands for any port, does not count as different.
     pub fn fixed_changes(&self, other: &GatewaySettings) -> Vec<&'static str> {
         let moved = |own: SocketAddr, other: SocketAddr| other.port() != 0 && own != other;
         let changes = [
@@ -108,24 +111,24 @@
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            grace: Duration::from_secs(6),
-            drain: Duration::from_secs(2),
-            apply: Duration::from_secs(2),
-            contact: Duration::from_secs(6),
-            repeat_ratio: 0.1,
-            repeat_window: Duration::from_secs(10),
-            repeat_spare: 10.0,
-            cold_times: 1.0,
-            cold_spare: 0.0,
-            allowances: AllowanceTerms::default(),
-            look_up_ttl_most: Duration::from_secs(5),
-            shift_most: 0.15,
+            grace_period: Duration::from_secs(6),
+            drain_time: Duration::from_secs(2),
+            document_apply_time: Duration::from_secs(2),
+            reconnect_time: Duration::from_secs(6),
+            retry_ratio: 0.1,
+            retry_window: Duration::from_secs(10),
+            retry_slack: 10.0,
+            warm_up_overage: 1.0,
+            warm_up_slack: 0.0,
+            allowances: AllowanceTolerance::default(),
+            max_lookup_ttl: Duration::from_secs(5),
+            max_region_shift: 0.15,
         }
     }
 }
 
 impl Default for GatewaySettings {
-    /// A host alone on loopback, on free ports.
+    /// A single host on loopback, on free ports.
     fn default() -> Self {
         let free = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         GatewaySettings {
--- a/crates/gateway/src/traffic/head.rs
+++ b/crates/gateway/src/traffic/head.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself.
+//! Reads the head of a request.
 
 use std::time::{Duration, Instant};
 
@@ -6,23 +6,22 @@
 use hyper::header::{AUTHORIZATION, HOST, HeaderMap, HeaderValue};
 use steering::route::{Credentials, KeyHash};
 
-use crate::dialect::HeaderNames;
+use crate::wire_format::HeaderNames;
 
-/// Deadline of a request that names none.
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
+/// Deadline of a request that states none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// The parts of a request's head that decide.
+/// The parts of a request's head that affect routing.
 #[derive(Debug, Clone)]
 pub(super) struct Head {
-    /// Its identity; empty where it names none.
+    /// Identity of the request; empty if it has none.
     pub id: String,
-    /// Domain that it is for.
+    /// Domain of the request; empty if it has none.
     pub domain: String,
-    /// Object that it is about, where it names one.
+    /// Object of the request; none if it has none.
     pub object: Option<Vec<u8>>,
-    /// When it came.
     pub arrived: Instant,
-    /// When its caller leaves.
+    /// When the caller stops waiting.
     pub deadline: Instant,
 }
 
@@ -30,27 +29,27 @@
     pub fn read<B>(request: &Request<B>, names: &HeaderNames, arrived: Instant) -> Head {
         let headers = request.headers();
         let time = text(headers, &names.deadline_ms).and_then(|text| text.parse().ok());
-        let time = time.map_or(DEADLINE_DEFAULT, Duration::from_millis);
+        let time = time.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let host = text(headers, &HOST).or(request.uri().host());
         Head {
             id: text(headers, &names.request_id).unwrap_or("").to_owned(),
             domain: host.unwrap_or("").to_owned(),
             object: headers.get(&names.object).map(|v| v.as_bytes().to_vec()),
             arrived,
-            deadline: arrived + time.min(DEADLINE_MOST),
+            deadline: arrived + time.min(MAX_DEADLINE),
         }
     }
 }
 
-/// A caller that says it waits longer is taken to wait so long.
-const DEADLINE_MOST: Duration = Duration::from_secs(3_600);
+/// Longest deadline; longer ones are reduced to it.
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Scheme of credentials that are a key.
+/// Authorization scheme of a key.
 const KEY_SCHEME: &[u8] = b"bearer";
-/// Longest key, in bytes. Those of operators have some tens.
-const KEY_MOST_BYTES: usize = 1_024;
+/// Longest key, in bytes. Operators' keys have some tens of bytes.
+const MAX_KEY_BYTES: usize = 1_024;
 
-/// What a request says of who sends it.
+/// Reads the sender's credentials.
 pub(super) fn credentials(headers: &HeaderMap) -> Credentials {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     match (values.next(), values.next()) {
@@ -65,7 +64,7 @@
     let at = bytes.iter().position(|byte| *byte == b' ')?;
     let (scheme, key) = bytes.split_at(at);
     let key = key.trim_ascii();
-    let is_one = !key.is_empty() && key.len() <= KEY_MOST_BYTES && !key.contains(&b' ');
+    let is_one = !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(&b' ');
     (is_one && scheme.eq_ignore_ascii_case(KEY_SCHEME)).then(|| KeyHash::of(key))
 }
 
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -1,29 +1,30 @@
-//! Which hosts a caller should use.
+//! Selects the hosts that a caller should use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use steering::route::RouteView;
 
-use crate::dialect::LookUp;
 use crate::settings::{Bounds, GatewaySettings};
+use crate::wire_format::HostLookup;
 
 /// Most hosts in an answer.
-const HOSTS_MOST: usize = 64;
-/// Time for which an answer holds. Some callers keep it three times as long; a host
-/// that stops is to be left by them within its grace.
+const MAX_HOSTS: usize = 64;
+/// Time for which an answer is valid. Some callers use it three times as long, and they must leave
+/// a stopping host within its grace period.
 const TTL: Duration = Duration::from_secs(2);
 
-/// Time for which an answer holds.
+/// Time for which an answer is valid.
 pub(super) fn ttl(bounds: &Bounds) -> Duration {
-    TTL.min(bounds.look_up_ttl_most)
+    TTL.min(bounds.max_lookup_ttl)
 }
 
-/// Hosts of the caller's region, else of any. `serving` is this host, where it serves.
+/// Hosts of the caller's region, or of all regions if there are none. `serving` is this host's
+/// address if it accepts requests.
 pub(super) fn hosts(
     view: &RouteView,
     settings: &GatewaySettings,
-    asked: &LookUp,
+    asked: &HostLookup,
     serving: Option<SocketAddr>,
 ) -> Vec<SocketAddr> {
     let of_zone = asked
@@ -43,6 +44,6 @@
     }
     near.sort_unstable();
     near.dedup();
-    near.truncate(HOSTS_MOST);
+    near.truncate(MAX_HOSTS);
     near
 }
--- /dev/null
+++ b/crates/steering/src/route/caller_timeouts.rs
@@ -0,0 +1,33 @@
+//! Tells returning callers from first-time ones by the timeouts that they state.
+
+use std::time::Duration;
+
+use super::pace::CallerAttempt;
+
+/// Share of the longest timeout below which a caller counts as returning: it has spent most
+/// of a round trip and of a pause elsewhere.
+const RETURNING_TIMEOUT_SHARE: f64 = 0.97;
+/// Factor by which the longest timeout decays with each caller. A single caller with a
+/// longer timeout than all others is forgotten after some hundred callers.
+const LONGEST_DECAY: f64 = 0.999;
+
+/// Timeout that callers of a route state on their first request, learned from the stated
+/// timeouts.
+///
+/// If callers state different timeouts, some first-time callers count as returning. Only
+/// the order of retries depends on the result.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct CallerTimeouts {
+    longest: Duration,
+}
+
+impl CallerTimeouts {
+    /// Records a caller's timeout and returns whether the caller came before.
+    pub fn take(&mut self, time: Duration) -> CallerAttempt {
+        self.longest = self.longest.mul_f64(LONGEST_DECAY).max(time);
+        match time < self.longest.mul_f64(RETURNING_TIMEOUT_SHARE) {
+            true => CallerAttempt::Later,
+            false => CallerAttempt::First,
+        }
+    }
+}
--- a/crates/steering/src/route/suspect/mod.rs
+++ b/crates/steering/src/route/suspect/mod.rs
@@ -1,4 +1,5 @@
-//! Work under which upstreams end: found, told to all hosts, and kept from taking more down.
+//! Detection of repeated requests ("work") that crash upstreams. Hosts share what they find, and
+//! refuse such work before it crashes more upstreams.
 
 mod abandoned;
 mod news;
@@ -7,9 +8,9 @@
 mod suspicion;
 mod work;
 
-pub use abandoned::Abandoned;
-pub use news::{WorkNews, WorkTold};
+pub use abandoned::AbandonedRequests;
+pub use news::{WorkEvent, WorkUpdate};
 pub use state::{WorkDigest, WorkRank, WorkState};
 pub use suspects::{Admission, RefusedWork, Suspects};
-pub use suspicion::ENDS_REFUSED;
+pub use suspicion::CRASHES_TO_REFUSE;
 pub use work::{WorkIdentity, WorkKey, WorkParts};
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -267,7 +267,7 @@
 
     /// Whether this host ranks among the first `count` hosts of its zone for a task.
     pub fn is_among_first(&self, task: &str, count: usize) -> bool {
-        let staying = self.state.borrow().membership.staying(clock::now());
+        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
         let key = format!("{task}/{}", self.me.entry.zone);
         let ranked = rendezvous::rank(&key, staying.iter().map(|host| host.name.as_str()));
         ranked
@@ -301,7 +301,7 @@
     /// platform's list.
     pub fn zone_peers(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let present = state.membership.present(clock::now());
+        let present = state.membership.live_hosts(clock::now());
         let listed = state.listed.iter().map(|host| &host.entry);
         let mut peers: Vec<SocketAddr> = present
             .iter()
--- a/src/host/gossip.rs
+++ b/src/host/gossip.rs
@@ -9,8 +9,8 @@
 use peer::{Beat, Exchange, ExchangeReply};
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
-use steering::belief::ZoneSummary;
 use steering::ids::ZoneName;
+use steering::load_estimate::ZoneSummary;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -34,7 +34,7 @@
     pub async fn heartbeat_loop(self: Rc<Self>) {
         loop {
             self.send_heartbeats();
-            let interval = self.state.borrow().membership.timing().beat_every;
+            let interval = self.state.borrow().membership.timing().heartbeat_interval;
             sleep(interval).await;
         }
     }
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -5,7 +5,7 @@
 
 use rand::seq::IndexedRandom;
 use steering::ids::{HostName, Incarnation};
-use steering::limiter::{LOAN_LAPSE, LimitKey, Roster, Units, Want};
+use steering::limiter::{LOAN_LAPSE, LimitKey, LoanDemand, Roster, Units};
 use steering::membership::HostEntry;
 use tokio::task::spawn_local;
 
@@ -30,11 +30,11 @@
         loop {
             timer.tick().await;
             tick = tick.wrapping_add(1);
-            let shortages = self.shared.ledger().short();
+            let shortages = self.shared.ledger().take_refusals();
             for (key, refused) in shortages {
                 let others = self.zone_others();
                 if let Some(lender) = others.choose(&mut rand::rng()) {
-                    let want = Want::More(refused.max(MIN_LOAN));
+                    let want = LoanDemand::More(refused.max(MIN_LOAN));
                     self.spawn_loan_request(key, &lender.name, want);
                 }
             }
@@ -47,12 +47,16 @@
     fn renew_loans(self: &Rc<Self>) {
         let loans = self.shared.ledger().loans(clock::now());
         for loan in loans {
-            let want = if loan.needed { Want::Same } else { Want::Less };
+            let want = if loan.needed {
+                LoanDemand::Same
+            } else {
+                LoanDemand::Less
+            };
             self.spawn_loan_request(loan.limit, &loan.lender, want);
         }
     }
 
-    fn spawn_loan_request(self: &Rc<Self>, key: LimitKey, lender: &str, want: Want) {
+    fn spawn_loan_request(self: &Rc<Self>, key: LimitKey, lender: &str, want: LoanDemand) {
         let others = self.zone_others();
         if let Some(lender) = others.into_iter().find(|host| host.name == lender) {
             let control = Rc::clone(self);
@@ -60,7 +64,7 @@
         }
     }
 
-    async fn request_loan(&self, key: &LimitKey, lender: &HostEntry, want: Want) {
+    async fn request_loan(&self, key: &LimitKey, lender: &HostEntry, want: LoanDemand) {
         let now = clock::now();
         let request = self.shared.ledger().request(now, key, &lender.name, want);
         let Some(request) = request else {
@@ -78,7 +82,7 @@
     }
 
     fn zone_others(&self) -> Vec<HostEntry> {
-        let present = self.state.borrow().membership.present(clock::now());
+        let present = self.state.borrow().membership.live_hosts(clock::now());
         let others = present
             .into_iter()
             .filter(|host| host.name != self.me.entry.name);
@@ -101,7 +105,7 @@
 
     async fn update_share(&self) {
         let (name, incarnation) = (self.me.entry.name.clone(), self.incarnation);
-        let staying = self.state.borrow().membership.staying(clock::now());
+        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
         let leaving = !staying.iter().any(|host| host.name == name);
         let fair = match leaving {
             true => 0,
@@ -194,7 +198,7 @@
                 .filter(|(host, _)| **host != self.me.entry.name);
             let mut others = others.map(|(host, _)| host);
             !own_lenders.contains(lender)
-                && others.all(|host| state.membership.holds_nothing_of(now, host, lender))
+                && others.all(|host| state.membership.holds_no_share_of(now, host, lender))
         };
         gone.into_iter()
             .filter(|(host, _)| is_unborrowed(host))
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use ::operator::{InForce, PoolStatus, Status, UpstreamStatus, ZoneLoad};
-use steering::belief::ServiceLoad;
+use steering::load_estimate::ServiceLoad;
 
 use super::control::Control;
 use super::state::Dump;
@@ -33,7 +33,7 @@
                     service: service.clone(),
                     load: report.load,
                 };
-                Some((age_ms(report.measured), load))
+                Some((age_ms(report.measured_at), load))
             });
             let (ages_ms, services): (Vec<u64>, Vec<ServiceLoad>) = reports.unzip();
             ZoneLoad {
--- a/src/host/state.rs
+++ b/src/host/state.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
-use steering::belief::{Beliefs, ServiceLoad, ZoneSummary};
-use steering::document::{Proposal, Verdict};
+use steering::document::{Proposal, ProposalOutcome};
 use steering::history::History;
 use steering::ids::{HostName, Incarnation, Revision, ZoneName};
 use steering::limiter::Roster;
+use steering::load_estimate::{LoadReports, ServiceLoad, ZoneSummary};
 use steering::membership::{HostEntry, Membership};
 use steering::plan::Plan;
-use steering::view::OwnCounts;
+use steering::view::InFlightCounts;
 use store::ListedHost;
 use tokio::sync::oneshot;
 
@@ -27,7 +27,7 @@
     /// Return the configuration in force and its revision.
     Document(oneshot::Sender<InForce>),
     /// Propose a change of the configuration to the platform.
-    Propose(Box<Proposal>, oneshot::Sender<Verdict>),
+    Propose(Box<Proposal>, oneshot::Sender<ProposalOutcome>),
     /// Announce to other hosts and the platform that this host is leaving.
     Leave,
     /// End the thread.
@@ -101,7 +101,7 @@
     /// Hosts of the zone, from their heartbeats.
     pub membership: Membership,
     /// Last load reports of all services in all zones.
-    pub beliefs: Beliefs,
+    pub beliefs: LoadReports,
     /// Last known state of the other zones.
     pub known_zones: HashMap<ZoneName, KnownZone>,
     /// Load that other hosts of the zone reported.
@@ -113,7 +113,7 @@
     /// Shares of the zone's limits by host.
     pub roster: Roster,
     /// Requests of this host in flight, by service and zone.
-    pub own_counts: OwnCounts,
+    pub own_counts: InFlightCounts,
     /// When the platform last answered; `None` before its first answer.
     pub store_answered_at: Option<Instant>,
     /// Whether this incarnation has read the platform's list of hosts.
--- a/src/host/views.rs
+++ b/src/host/views.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use steering::belief::{Report, SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::ids::HostName;
+use steering::load_estimate::{Report, SUMMARY_HOSTS, ServiceLoad, ZoneSummary};
 use steering::membership::HostEntry;
 use steering::pool::{PoolLimits, PoolLoad};
 use steering::view::View;
@@ -55,7 +55,7 @@
         while let Ok(observation) = self.observations.try_recv() {
             let report = Report {
                 load: observation.load,
-                measured: observation.received,
+                measured_at: observation.received,
             };
             state
                 .beliefs
@@ -79,8 +79,8 @@
                 .leaving
                 .load(std::sync::atomic::Ordering::Acquire),
             hosts: self.known_hosts(state, now),
-            beliefs: state.beliefs.clone(),
-            own: state.own_counts.clone(),
+            load_reports: state.beliefs.clone(),
+            own_in_flight: state.own_counts.clone(),
         };
         self.update_pools(&view, replan);
         if replan {
@@ -108,7 +108,7 @@
     pub fn update_own_zone_load(&self, state: &mut State, now: Instant) {
         let mut sums: BTreeMap<String, PoolLoad> = BTreeMap::new();
         let fresh = state.received_loads.values().filter(|loads| {
-            now.saturating_duration_since(loads.received) < steering::belief::STALE_AFTER
+            now.saturating_duration_since(loads.received) < steering::load_estimate::STALE_AFTER
         });
         let others = fresh.flat_map(|received| received.loads.clone());
         for load in others.chain(self.own_loads()) {
@@ -117,7 +117,7 @@
         for (service, load) in sums {
             let report = Report {
                 load,
-                measured: now,
+                measured_at: now,
             };
             state.beliefs.update(&self.me.entry.zone, &service, report);
         }
@@ -153,7 +153,10 @@
                 hosts.insert(zone.clone(), known.hosts.clone());
             }
         }
-        hosts.insert(self.me.entry.zone.clone(), state.membership.staying(now));
+        hosts.insert(
+            self.me.entry.zone.clone(),
+            state.membership.accepting_hosts(now),
+        );
         hosts
     }
 
@@ -200,7 +203,7 @@
             loads: loads.collect(),
             hosts: state
                 .membership
-                .staying(now)
+                .accepting_hosts(now)
                 .into_iter()
                 .take(SUMMARY_HOSTS)
                 .collect(),
@@ -225,7 +228,7 @@
         for load in summary.loads {
             let report = Report {
                 load: load.load,
-                measured,
+                measured_at: measured,
             };
             state.beliefs.update(&summary.zone, &load.service, report);
         }
