--- a/crates/caller/src/admission.rs
+++ b/crates/caller/src/admission.rs
@@ -162,11 +162,11 @@
     /// # Errors
     ///
     /// The reason for a refusal, or that the deadline has passed.
-    pub async fn admit(&self, key: &str, offer: PoolRequest) -> Result<Permit, ErrorKind> {
+    pub async fn admit(&self, key: &str, request: PoolRequest) -> Result<Permit, ErrorKind> {
         let handle = self.handle(key).ok_or(ErrorKind::NoUpstream)?;
         let (wait, answer) = {
             let owned = &mut *lock(&handle.owned);
-            let decision = owned.pool.offer(clock::now(), offer, &mut owned.rng);
+            let decision = owned.pool.offer(clock::now(), request, &mut owned.rng);
             match decision {
                 Decision::Granted(grant) => return Ok(handle.permit(grant)),
                 Decision::Refused(kind) => return Err(kind),
@@ -182,7 +182,7 @@
             wait: Some(wait),
             answer,
         };
-        queued.admitted(offer.deadline).await
+        queued.admitted(request.deadline).await
     }
 
     /// Admits or refuses queued requests where a pause or a deadline has passed.
--- a/crates/caller/src/at_most_once.rs
+++ b/crates/caller/src/at_most_once.rs
@@ -149,7 +149,7 @@
     ticket: &Ticket,
     fingerprint: &str,
 ) -> Result<Response<Body>, Failure> {
-    let (recalled, remembered) = {
+    let (earlier, remembered) = {
         let spent = shared.spent();
         // The clock is read under the lock: a ticket that was removed before was removed at
         // an earlier time, so one that must still be remembered is found here.
@@ -157,8 +157,8 @@
         let remembered = now < expiry_of(shared, ticket) + shared.config.ticket_ttl;
         (spent.status(&ticket.id, fingerprint), remembered)
     };
-    if let Some(spent) = recalled {
-        return answer_without_running(spent, ticket.mode);
+    if let Some(decision) = earlier {
+        return answer_without_running(decision, ticket.mode);
     }
     if remembered && ticket.mode == TicketMode::Home {
         return Err(ErrorKind::TicketLapsed.into());
@@ -173,11 +173,11 @@
 
 /// The answer for a request that is not run now.
 fn answer_without_running(
-    spent: TicketDecision,
+    decision: TicketDecision,
     mode: TicketMode,
 ) -> Result<Response<Body>, Failure> {
-    match spent {
-        TicketDecision::Replay(ending) => replay(ending),
+    match decision {
+        TicketDecision::Replay(outcome) => replay(outcome),
         TicketDecision::Conflict => Err(ErrorKind::TicketConflict.into()),
         TicketDecision::Run | TicketDecision::InProgress => Err(ErrorKind::InProgress.into()),
         TicketDecision::Full if mode == TicketMode::Home => Err(ErrorKind::HostBusy.into()),
@@ -277,14 +277,14 @@
     body: WorkBody,
     execution: Execution,
 ) -> Result<Response<Body>, Failure> {
-    let spend = shared.spent().begin(
+    let decision = shared.spent().begin(
         clock::now(),
         &execution.id,
         &execution.fingerprint,
         execution.forget_at,
     );
-    if spend != TicketDecision::Run {
-        return answer_without_running(spend, execution.mode);
+    if decision != TicketDecision::Run {
+        return answer_without_running(decision, execution.mode);
     }
     let shared = Arc::clone(shared);
     // A separate task, so that the execution completes even if the caller disconnects.
@@ -306,9 +306,9 @@
         && let Err(answer) = claim(shared, &execution).await
     {
         return match answer {
-            Ok(ending) => {
-                shared.spent().complete(&execution.id, ending.clone());
-                replay(ending)
+            Ok(outcome) => {
+                shared.spent().complete(&execution.id, outcome.clone());
+                replay(outcome)
             }
             Err(kind) => {
                 shared.spent().release(&execution.id);
@@ -326,11 +326,11 @@
     match answer {
         Ok(answer) => record_answer(shared, &execution, answer).await,
         Err(failure) => {
-            let ending = match failure.not_run {
+            let outcome = match failure.not_run {
                 NotRun::True => None,
                 NotRun::False | NotRun::Unknown => Some(WorkOutcome::Unknown),
             };
-            finish(shared, &execution, ending);
+            finish(shared, &execution, outcome);
             Err(failure)
         }
     }
@@ -340,7 +340,7 @@
 ///
 /// # Errors
 ///
-/// The ending of an earlier execution, or the reason why the request can't run now.
+/// The outcome of an earlier execution, or the reason why the request can't run now.
 async fn claim(
     shared: &SharedState,
     execution: &Execution,
@@ -376,7 +376,7 @@
     let same_host = row.host == view.me.name;
     let holder_is_gone = same_host || view.host(&row.host).is_none();
     match decide_existing_claim(&row, &execution.fingerprint, holder_is_gone) {
-        TicketDecision::Replay(ending) => Err(Ok(ending)),
+        TicketDecision::Replay(outcome) => Err(Ok(outcome)),
         TicketDecision::Conflict => Err(Err(ErrorKind::TicketConflict)),
         _ => Err(Err(ErrorKind::InProgress)),
     }
@@ -431,23 +431,26 @@
 }
 
 /// Records how the execution ended; `None` if the request did not run.
-fn finish(shared: &SharedState, execution: &Execution, ending: Option<WorkOutcome>) {
-    match &ending {
-        Some(ending) => shared.spent().complete(&execution.id, ending.clone()),
+fn finish(shared: &SharedState, execution: &Execution, outcome: Option<WorkOutcome>) {
+    match &outcome {
+        Some(outcome) => shared.spent().complete(&execution.id, outcome.clone()),
         None => shared.spent().release(&execution.id),
     }
     let has_claim = execution.mode == TicketMode::Store;
-    if ending.is_some() || has_claim {
+    if outcome.is_some() || has_claim {
         let id = execution.id.clone();
-        shared
-            .claims
-            .finish(id, execution.attempt, execution.fingerprint.clone(), ending);
+        shared.claims.finish(
+            id,
+            execution.attempt,
+            execution.fingerprint.clone(),
+            outcome,
+        );
     }
 }
 
 /// The response of an earlier run, rebuilt from its receipt.
-fn replay(ending: WorkOutcome) -> Result<Response<Body>, Failure> {
-    let WorkOutcome::Ran(receipt) = ending else {
+fn replay(outcome: WorkOutcome) -> Result<Response<Body>, Failure> {
+    let WorkOutcome::Ran(receipt) = outcome else {
         return Err(ErrorKind::OutcomeUnknown.into());
     };
     let Some(body) = receipt.body else {
--- a/crates/caller/src/claims.rs
+++ b/crates/caller/src/claims.rs
@@ -23,7 +23,7 @@
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
-        ending: Option<WorkOutcome>,
+        outcome: Option<WorkOutcome>,
     );
 
     /// Reads a claim; `None` if there is no row.
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -161,10 +161,10 @@
     let caller = view.plan.class(head.class);
     let rule = view.plan.rule(&service.service, operation, caller);
     let targets = view.targets(clock::now(), service, rule);
-    let views: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
+    let zone_candidates: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
     let from = view.plan.region(&view.me.zone);
     let mut rng = rand::rng();
-    rank_zones(&views, &mut rng)
+    rank_zones(&zone_candidates, &mut rng)
         .into_iter()
         .filter_map(|index| {
             let target = &targets[index];
@@ -184,8 +184,8 @@
 }
 
 fn hedge_delay(target: &Target<'_>) -> Duration {
-    let place = &target.place;
-    let expected_ms = place.latency_ms + 2.0 * place.one_way_ms;
+    let zone = &target.place;
+    let expected_ms = zone.latency_ms + 2.0 * zone.one_way_ms;
     Duration::from_secs_f64(expected_ms * HEDGE_DELAY_FACTOR / 1_000.0).max(MIN_HEDGE_DELAY)
 }
 
--- a/crates/caller/src/local.rs
+++ b/crates/caller/src/local.rs
@@ -96,14 +96,14 @@
     }
     ensure_pool(shared, head, admission.pool)?;
     let mut limits = take_limits(shared, admission.limits)?;
-    let offer = PoolRequest {
+    let pool_request = PoolRequest {
         deadline: head.deadline,
         priority: admission.priority,
         hedge: admission.hedge,
     };
     let permit = shared
         .pools
-        .admit(admission.pool, offer)
+        .admit(admission.pool, pool_request)
         .await
         .map_err(AttemptError::Refused)?;
     limits.used = true;
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -95,11 +95,11 @@
         change,
         base: in_force.revision,
     };
-    let verdict = match client.propose(&proposal) {
-        Ok(verdict) => verdict,
+    let outcome = match client.propose(&proposal) {
+        Ok(outcome) => outcome,
         Err(error) => ProposalOutcome::Unknown(error.to_string()),
     };
-    Outcome::of_verdict(&verdict, &id, output)
+    Outcome::of_proposal(&outcome, &id, output)
 }
 
 fn new_id() -> String {
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -75,11 +75,14 @@
     let unreachable = |error| Outcome::unreachable(&error);
     let document = client.document().map_err(unreachable)?.document;
     let status = client.status().map_err(unreachable)?;
-    let short = shortages(&document, &status, zone);
-    if short.is_empty() {
+    let shortages = shortages(&document, &status, zone);
+    if shortages.is_empty() {
         return Ok(());
     }
-    let reason = format!("{}\nuse --force to drain the zone anyway", short.join("\n"));
+    let reason = format!(
+        "{}\nuse --force to drain the zone anyway",
+        shortages.join("\n")
+    );
     Err(Outcome::failed(BAD_INPUT, reason))
 }
 
@@ -101,7 +104,7 @@
         let zone = document.zone(name);
         zone.is_some_and(|zone| takes_new_work(&zone.labels))
     };
-    let mut short = Vec::new();
+    let mut shortages = Vec::new();
     for (service, (here, elsewhere)) in in_flight {
         let slots: u32 = document
             .upstreams
@@ -111,14 +114,14 @@
             .map(|upstream| upstream.slots)
             .sum();
         if here > 0 && here + elsewhere > slots {
-            short.push(format!(
+            shortages.push(format!(
                 "service {service}: {here} in flight in {zone}, \
                  but only {} of {slots} slots are free elsewhere",
                 slots.saturating_sub(elsewhere)
             ));
         }
     }
-    short
+    shortages
 }
 
 /// Waits until no request is in flight on the target, at most for `limit`.
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -45,7 +45,7 @@
         Ok(host) => host,
         Err(error) => return Outcome::failed(UNAVAILABLE, error),
     };
-    // Text of the settings file, to detect changes to it.
+    // Text of the settings file after the start; later changes are detected against it.
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let reload = |trigger: ReloadTrigger| {
         let read = std::fs::read_to_string(&path).unwrap_or_default();
--- a/src/commands/outcome.rs
+++ b/src/commands/outcome.rs
@@ -52,8 +52,8 @@
     }
 
     /// Result of a proposed change; `id` is the identity of the change.
-    pub fn of_verdict(verdict: &ProposalOutcome, id: &str, output: Output) -> Self {
-        let (code, text) = match verdict {
+    pub fn of_proposal(outcome: &ProposalOutcome, id: &str, output: Output) -> Self {
+        let (code, text) = match outcome {
             ProposalOutcome::Accepted(revision) => {
                 (DONE, format!("in force from revision {revision} on"))
             }
@@ -76,7 +76,7 @@
         };
         match (output, code) {
             (Output::Json, _) => Outcome {
-                out: serde_json::json!({"change_id": id, "verdict": verdict}).to_string(),
+                out: serde_json::json!({"change_id": id, "verdict": outcome}).to_string(),
                 err: String::new(),
                 code,
             },
--- a/src/host/claims.rs
+++ b/src/host/claims.rs
@@ -79,13 +79,13 @@
         id: ClaimId,
         attempt: AttemptId,
         fingerprint: Fingerprint,
-        ending: Option<WorkOutcome>,
+        outcome: Option<WorkOutcome>,
     ) {
         let receipt = ReceiptWrite {
             id,
             attempt,
             fingerprint,
-            ending,
+            ending: outcome,
         };
         if let Err(error) = self.receipts.try_send(receipt) {
             // Without the receipt, the outcome of the request stays unknown to other hosts.
--- a/src/host/configuration.rs
+++ b/src/host/configuration.rs
@@ -79,20 +79,20 @@
         let mut history = self.state.borrow().history.clone();
         let id = proposal.change.id.clone();
         let proposed = self.worker.run(move |platform| {
-            let verdict = ConfigStore::new(platform).propose(&mut history, &proposal);
-            (history, verdict)
+            let outcome = ConfigStore::new(platform).propose(&mut history, &proposal);
+            (history, outcome)
         });
-        let verdict = match proposed.await {
-            Ok((history, verdict)) => {
+        let outcome = match proposed.await {
+            Ok((history, outcome)) => {
                 self.adopt(history);
-                verdict
+                outcome
             }
             Err(error) => ProposalOutcome::Unavailable(error.to_string()),
         };
-        tracing::info!(event = "proposal", change = id, verdict = ?verdict);
+        tracing::info!(event = "proposal", change = id, verdict = ?outcome);
         // The operator's request may have timed out. A repetition with the same change
         // identity returns the outcome.
-        drop(answer.send(verdict));
+        drop(answer.send(outcome));
     }
 
     /// Sends an accepted change to the hosts of the zone, and to one host of each other zone.
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -104,13 +104,13 @@
                 plan: Arc::default(),
                 plan_revision: 0,
                 membership,
-                beliefs: Default::default(),
+                load_reports: Default::default(),
                 known_zones: HashMap::new(),
                 received_loads: HashMap::new(),
                 listed: Vec::new(),
                 last_listed: HashMap::new(),
                 roster: Default::default(),
-                own_counts: HashMap::new(),
+                own_in_flight: HashMap::new(),
                 store_answered_at: None,
                 host_list_read: false,
             }),
@@ -267,9 +267,9 @@
 
     /// Whether this host ranks among the first `count` hosts of its zone for a task.
     pub fn is_among_first(&self, task: &str, count: usize) -> bool {
-        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
+        let accepting_hosts = self.state.borrow().membership.accepting_hosts(clock::now());
         let key = format!("{task}/{}", self.me.entry.zone);
-        let ranked = rendezvous::rank(&key, staying.iter().map(|host| host.name.as_str()));
+        let ranked = rendezvous::rank(&key, accepting_hosts.iter().map(|host| host.name.as_str()));
         ranked
             .iter()
             .take(count)
@@ -301,9 +301,9 @@
     /// platform's list.
     pub fn zone_peers(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let present = state.membership.live_hosts(clock::now());
+        let live_hosts = state.membership.live_hosts(clock::now());
         let listed = state.listed.iter().map(|host| &host.entry);
-        let mut peers: Vec<SocketAddr> = present
+        let mut peers: Vec<SocketAddr> = live_hosts
             .iter()
             .chain(listed)
             .filter(|host| host.zone == self.me.entry.zone)
--- a/src/host/handler.rs
+++ b/src/host/handler.rs
@@ -82,8 +82,8 @@
 impl Handler {
     fn is_in_zone(&self, host: &str) -> bool {
         let state = self.0.state.borrow();
-        let present = state.membership.live_hosts(clock::now());
-        present.iter().any(|known| known.name == host)
+        let live_hosts = state.membership.live_hosts(clock::now());
+        live_hosts.iter().any(|known| known.name == host)
     }
 
     fn catch_up(&self, from: &HostName) {
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -34,8 +34,8 @@
             for (key, refused) in shortages {
                 let others = self.zone_others();
                 if let Some(lender) = others.choose(&mut rand::rng()) {
-                    let want = LoanDemand::More(refused.max(MIN_LOAN));
-                    self.spawn_loan_request(key, &lender.name, want);
+                    let demand = LoanDemand::More(refused.max(MIN_LOAN));
+                    self.spawn_loan_request(key, &lender.name, demand);
                 }
             }
             if tick.is_multiple_of(RENEWAL_TICKS) {
@@ -47,26 +47,26 @@
     fn renew_loans(self: &Rc<Self>) {
         let loans = self.shared.ledger().loans(clock::now());
         for loan in loans {
-            let want = if loan.needed {
+            let demand = if loan.needed {
                 LoanDemand::Same
             } else {
                 LoanDemand::Less
             };
-            self.spawn_loan_request(loan.limit, &loan.lender, want);
+            self.spawn_loan_request(loan.limit, &loan.lender, demand);
         }
     }
 
-    fn spawn_loan_request(self: &Rc<Self>, key: LimitKey, lender: &str, want: LoanDemand) {
+    fn spawn_loan_request(self: &Rc<Self>, key: LimitKey, lender: &str, demand: LoanDemand) {
         let others = self.zone_others();
         if let Some(lender) = others.into_iter().find(|host| host.name == lender) {
             let control = Rc::clone(self);
-            spawn_local(async move { control.request_loan(&key, &lender, want).await });
+            spawn_local(async move { control.request_loan(&key, &lender, demand).await });
         }
     }
 
-    async fn request_loan(&self, key: &LimitKey, lender: &HostEntry, want: LoanDemand) {
+    async fn request_loan(&self, key: &LimitKey, lender: &HostEntry, demand: LoanDemand) {
         let now = clock::now();
-        let request = self.shared.ledger().request(now, key, &lender.name, want);
+        let request = self.shared.ledger().request(now, key, &lender.name, demand);
         let Some(request) = request else {
             return;
         };
@@ -82,8 +82,8 @@
     }
 
     fn zone_others(&self) -> Vec<HostEntry> {
-        let present = self.state.borrow().membership.live_hosts(clock::now());
-        let others = present
+        let live_hosts = self.state.borrow().membership.live_hosts(clock::now());
+        let others = live_hosts
             .into_iter()
             .filter(|host| host.name != self.me.entry.name);
         others.collect()
@@ -105,11 +105,11 @@
 
     async fn update_share(&self) {
         let (name, incarnation) = (self.me.entry.name.clone(), self.incarnation);
-        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
-        let leaving = !staying.iter().any(|host| host.name == name);
+        let accepting_hosts = self.state.borrow().membership.accepting_hosts(clock::now());
+        let leaving = !accepting_hosts.iter().any(|host| host.name == name);
         let fair = match leaving {
             true => 0,
-            false => Roster::fair_permille(staying.len()),
+            false => Roster::fair_permille(accepting_hosts.len()),
         };
         let keep = self.lower_share(fair);
         let gone = self.reclaimable_shares();
--- a/src/host/report.rs
+++ b/src/host/report.rs
@@ -28,7 +28,7 @@
         let view = self.shared.view.load();
         let zones = view.plan.document.zones.iter().map(|zone| {
             let reports = view.plan.services.keys().filter_map(|service| {
-                let report = state.beliefs.report(&zone.name, service)?;
+                let report = state.load_reports.report(&zone.name, service)?;
                 let load = ServiceLoad {
                     service: service.clone(),
                     load: report.load,
--- a/src/host/state.rs
+++ b/src/host/state.rs
@@ -101,7 +101,7 @@
     /// Hosts of the zone, from their heartbeats.
     pub membership: Membership,
     /// Last load reports of all services in all zones.
-    pub beliefs: LoadReports,
+    pub load_reports: LoadReports,
     /// Last known state of the other zones.
     pub known_zones: HashMap<ZoneName, KnownZone>,
     /// Load that other hosts of the zone reported.
@@ -113,7 +113,7 @@
     /// Shares of the zone's limits by host.
     pub roster: Roster,
     /// Requests of this host in flight, by service and zone.
-    pub own_counts: InFlightCounts,
+    pub own_in_flight: InFlightCounts,
     /// When the platform last answered; `None` before its first answer.
     pub store_answered_at: Option<Instant>,
     /// Whether this incarnation has read the platform's list of hosts.
--- a/src/host/views.rs
+++ b/src/host/views.rs
@@ -58,14 +58,14 @@
                 measured_at: observation.received,
             };
             state
-                .beliefs
+                .load_reports
                 .update(&observation.zone, &observation.service, report);
         }
         let replan = state.plan_revision != state.history.revision();
         if replan {
             state.plan = Arc::new(state.plan.next(Arc::clone(state.history.document())));
             state.plan_revision = state.history.revision();
-            self.update_own_counts(state);
+            self.update_own_in_flight(state);
             self.local.names.set(state.plan.services.keys());
         }
         self.update_own_zone_load(state, now);
@@ -79,8 +79,8 @@
                 .leaving
                 .load(std::sync::atomic::Ordering::Acquire),
             hosts: self.known_hosts(state, now),
-            load_reports: state.beliefs.clone(),
-            own_in_flight: state.own_counts.clone(),
+            load_reports: state.load_reports.clone(),
+            own_in_flight: state.own_in_flight.clone(),
         };
         self.update_pools(&view, replan);
         if replan {
@@ -91,16 +91,16 @@
     }
 
     /// Makes a counter for each service and zone of the plan; existing counters are kept.
-    pub fn update_own_counts(&self, state: &mut State) {
-        let mut own_counts = HashMap::new();
+    pub fn update_own_in_flight(&self, state: &mut State) {
+        let mut own_in_flight = HashMap::new();
         for (name, service) in &state.plan.services {
             for zone in &service.zones {
                 let key = (name.clone(), zone.zone.clone());
-                let count = state.own_counts.get(&key).cloned().unwrap_or_default();
-                own_counts.insert(key, count);
+                let count = state.own_in_flight.get(&key).cloned().unwrap_or_default();
+                own_in_flight.insert(key, count);
             }
         }
-        state.own_counts = own_counts;
+        state.own_in_flight = own_in_flight;
     }
 
     /// Sums up the load of the zone's services, from this host's pools and from the last
@@ -119,7 +119,9 @@
                 load,
                 measured_at: now,
             };
-            state.beliefs.update(&self.me.entry.zone, &service, report);
+            state
+                .load_reports
+                .update(&self.me.entry.zone, &service, report);
         }
     }
 
@@ -191,7 +193,7 @@
         let state = self.state.borrow();
         let zone = &self.me.entry.zone;
         let loads = state.plan.services.keys().filter_map(|service| {
-            let report = state.beliefs.report(zone, service)?;
+            let report = state.load_reports.report(zone, service)?;
             Some(ServiceLoad {
                 service: service.clone(),
                 load: report.load,
@@ -230,7 +232,9 @@
                 load: load.load,
                 measured_at: measured,
             };
-            state.beliefs.update(&summary.zone, &load.service, report);
+            state
+                .load_reports
+                .update(&summary.zone, &load.service, report);
         }
     }
 
