--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -136,13 +136,13 @@
     loop {
         let counted = count_in_flight(target, args);
         if clock::elapsed(started_at) > limit {
-            let reason = format!("{} is not quiet after {} s", target.name, limit.as_secs());
+            let reason = format!("{} is not drained after {} s", target.name, limit.as_secs());
             return Outcome::failed(UNAVAILABLE, reason);
         }
         match counted {
             Ok(0) if clock::elapsed(started_at) >= PROPAGATION_TIME => {
                 let ms = clock::elapsed(started_at).as_millis();
-                return Outcome::done(format!("{} is quiet after {ms} ms", target.name));
+                return Outcome::done(format!("{} is drained after {ms} ms", target.name));
             }
             Ok(in_flight) if last != Some(in_flight) => {
                 progress(&format!("{}: {in_flight} in flight", target.name));
--- a/src/config.rs
+++ b/src/config.rs
@@ -240,7 +240,7 @@
         ];
         for (i, (path, address)) in own.iter().enumerate() {
             if address.ip().is_unspecified() {
-                problems.push(*path, "must be an IP number that others can reach");
+                problems.push(*path, "must be an IP address that others can reach");
             }
             let is_repeated = own[..i].iter().any(|(_, other)| other == address);
             if address.port() != 0 && is_repeated {
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -51,7 +51,7 @@
 #[case("zone", serde_json::json!("a b"), "zone: must be")]
 #[case("peer_key", serde_json::json!("short"), "peer_key: must have at least 16")]
 #[case("look_up_ttl_ms", serde_json::json!(1), "look_up_ttl_ms: must be from 100")]
-#[case("caller_address", serde_json::json!("0.0.0.0:1"), "caller_address: must be an IP number that others")]
+#[case("caller_address", serde_json::json!("0.0.0.0:1"), "caller_address: must be an IP address that others")]
 #[case("peer_address", serde_json::json!("127.0.0.1:8080"), "peer_address: `127.0.0.1:8080` is used twice")]
 #[case("log", serde_json::json!("loud=yes=no"), "log: ")]
 #[case("limits", serde_json::json!({"head_bytes": 10}), "limits.head_bytes: must be from 8192")]
@@ -122,11 +122,11 @@
 }
 
 #[test]
-fn a_drain_waits_until_the_upstream_is_quiet() {
+fn a_drain_waits_until_the_upstream_is_idle() {
     let (_deployment, host) = start();
     let outcome = at(&host, &["drain", "surcos-norte-1", "--wait"]);
     assert_eq!(outcome.code, 0, "{}", outcome.err);
-    assert!(outcome.out.contains("is quiet"), "{}", outcome.out);
+    assert!(outcome.out.contains("is drained"), "{}", outcome.out);
     let status = at(&host, &["status"]).out;
     assert!(status.contains("surcos-norte-1: 0 of"), "{status}");
     assert_eq!(at(&host, &["retire", "surcos-norte-1"]).code, 0);
