--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -1,5 +1,5 @@
 //! Attempts at a request: candidate zones in order of preference, with retries and
-//! hedged requests as far as the retry budget of the service allows.
+//! hedged requests within the retry budget of the service.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -27,7 +27,8 @@
 use crate::request::{RequestHead, SERVICES_PATH, text, value};
 use crate::shared::{LoadObservation, SharedState};
 
-/// Further zones that are tried after the first one refused the request at admission.
+/// Further zones that are tried after the first one refused the request at admission or could not
+/// be reached.
 const MAX_FALLBACKS: usize = 2;
 /// Attempts at one request in total, even where the retry budget would allow more.
 const MAX_ATTEMPTS: usize = 4;
@@ -125,7 +126,7 @@
 
 /// The failure that is reported to the caller.
 ///
-/// Claims that the request did not run only where this is certain, and always where it is.
+/// States that the request did not run if, and only if, this is certain.
 fn failure(error: AttemptError, kind: ErrorKind) -> Failure {
     let not_run = match error {
         AttemptError::Refused(_) | AttemptError::NotRun(_) | AttemptError::Unreachable => {
@@ -160,10 +161,10 @@
     let caller = view.plan.class(head.class);
     let rule = view.plan.rule(&service.service, operation, caller);
     let targets = view.targets(clock::now(), service, rule);
-    let views: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
+    let zone_candidates: Vec<_> = targets.iter().map(|target| target.place.clone()).collect();
     let from = view.plan.region(&view.me.zone);
     let mut rng = rand::rng();
-    rank_zones(&views, &mut rng)
+    rank_zones(&zone_candidates, &mut rng)
         .into_iter()
         .filter_map(|index| {
             let target = &targets[index];
@@ -183,8 +184,8 @@
 }
 
 fn hedge_delay(target: &Target<'_>) -> Duration {
-    let place = &target.place;
-    let expected_ms = place.latency_ms + 2.0 * place.one_way_ms;
+    let zone = &target.place;
+    let expected_ms = zone.latency_ms + 2.0 * zone.one_way_ms;
     Duration::from_secs_f64(expected_ms * HEDGE_DELAY_FACTOR / 1_000.0).max(MIN_HEDGE_DELAY)
 }
 
--- a/crates/caller/src/handlers.rs
+++ b/crates/caller/src/handlers.rs
@@ -56,7 +56,7 @@
     ambiguous: AmbiguousHead,
 ) -> Response<Body> {
     let id = new_id();
-    let begun = clock::now();
+    let started_at = clock::now();
     let unchecked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let ambiguous = ambiguous.load(Ordering::Acquire);
     let path = request.uri().path().to_owned();
@@ -71,7 +71,7 @@
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer.headers_mut().insert(REQUEST_ID_HEADER, value(&id));
-    log_request(&path, &id, &answer, clock::elapsed(begun));
+    log_request(&path, &id, &answer, clock::elapsed(started_at));
     answer
 }
 
@@ -262,7 +262,7 @@
     }
 }
 
-/// The response for a failure that tells the relaying host at which stage it occurred.
+/// The response for a failure, with a header that names at which stage it occurred.
 fn failure_at_stage(kind: ErrorKind, id: &str, stage: &'static str) -> Response<Body> {
     let mut answer = failure(kind.into(), id);
     let stage = HeaderValue::from_static(stage);
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -30,8 +30,8 @@
 /// Time between two reads of the platform's host list by the other hosts.
 const HOST_LIST_INTERVAL_OTHERS: Duration = Duration::from_secs(15);
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time after which a new host serves although it has heard neither from the platform nor from
-/// other hosts.
+/// Time after which a new host serves although it has reached neither the platform nor other
+/// hosts.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Hosts of each zone that poll the platform for new configurations.
 pub const POLLERS_PER_ZONE: usize = 2;
@@ -104,13 +104,13 @@
                 plan: Arc::default(),
                 plan_revision: 0,
                 membership,
-                beliefs: Default::default(),
+                load_reports: Default::default(),
                 known_zones: HashMap::new(),
                 received_loads: HashMap::new(),
                 listed: Vec::new(),
                 last_listed: HashMap::new(),
                 roster: Default::default(),
-                own_counts: HashMap::new(),
+                own_in_flight: HashMap::new(),
                 store_answered_at: None,
                 host_list_read: false,
             }),
@@ -173,8 +173,8 @@
             self.poll().await;
             sleep(STARTUP_RETRY_DELAY).await;
         }
-        let begun = clock::now();
-        while !self.has_discovered_others() && clock::elapsed(begun) < DISCOVERY_TIMEOUT {
+        let started_at = clock::now();
+        while !self.has_discovered_others() && clock::elapsed(started_at) < DISCOVERY_TIMEOUT {
             sleep(STARTUP_RETRY_DELAY).await;
         }
         self.publish();
@@ -267,9 +267,9 @@
 
     /// Whether this host ranks among the first `count` hosts of its zone for a task.
     pub fn is_among_first(&self, task: &str, count: usize) -> bool {
-        let staying = self.state.borrow().membership.accepting_hosts(clock::now());
+        let accepting_hosts = self.state.borrow().membership.accepting_hosts(clock::now());
         let key = format!("{task}/{}", self.me.entry.zone);
-        let ranked = rendezvous::rank(&key, staying.iter().map(|host| host.name.as_str()));
+        let ranked = rendezvous::rank(&key, accepting_hosts.iter().map(|host| host.name.as_str()));
         ranked
             .iter()
             .take(count)
@@ -301,9 +301,9 @@
     /// platform's list.
     pub fn zone_peers(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let present = state.membership.live_hosts(clock::now());
+        let live_hosts = state.membership.live_hosts(clock::now());
         let listed = state.listed.iter().map(|host| &host.entry);
-        let mut peers: Vec<SocketAddr> = present
+        let mut peers: Vec<SocketAddr> = live_hosts
             .iter()
             .chain(listed)
             .filter(|host| host.zone == self.me.entry.zone)
