--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -44,7 +44,7 @@
         loop {
             let shortest_bound = shortest_bound(feed, &self.common.bounds());
             self.with_follower(feed, |follower| {
-                follower.lead.set_tightest_bound(shortest_bound)
+                follower.poll_schedule.set_tightest_bound(shortest_bound)
             });
             let delay = self.with_follower(feed, |follower| follower.delay(clock::now()));
             if !delay.is_zero() {
@@ -56,7 +56,8 @@
                 PollOutcome::Repeat => continue,
                 PollOutcome::NoUpdate => {}
             }
-            let interval = self.with_follower(feed, |follower| follower.lead.poll_interval());
+            let interval =
+                self.with_follower(feed, |follower| follower.poll_schedule.poll_interval());
             self.wait_for_update(feed, interval, Wait::PollInterval)
                 .await;
         }
@@ -64,10 +65,10 @@
 
     /// Waits up to `most`, or until other hosts turn out to be unable to provide missing records.
     async fn wait_for_update(&self, feed: Feed, max_wait: Duration, wait: Wait) {
-        let gap_tried = self.with_follower(feed, |follower| Rc::clone(&follower.gap_tried));
+        let gap_attempted = self.with_follower(feed, |follower| Rc::clone(&follower.gap_attempted));
         let started_at = clock::now();
         // In both cases the caller checks again whether the store has to be polled.
-        let _ = timeout(max_wait, gap_tried.notified()).await;
+        let _ = timeout(max_wait, gap_attempted.notified()).await;
         self.with_follower(feed, |follower| follower.record_wait(wait, started_at));
     }
 
@@ -88,8 +89,8 @@
         });
         let (delay, forwards) = self.with_follower(feed, |follower| {
             (
-                follower.lead.poll_delay(now),
-                follower.lead.forwards_updates(now),
+                follower.poll_schedule.poll_delay(now),
+                follower.poll_schedule.forwards_updates(now),
             )
         });
         if !delay.is_zero() {
@@ -108,7 +109,7 @@
     /// is known.
     pub(super) async fn poll_store(&self, feed: Feed) -> PollOutcome {
         let (version, wait) = self.with_follower(feed, |follower| {
-            (follower.version, follower.lead.poll_wait())
+            (follower.version, follower.poll_schedule.poll_wait())
         });
         // During an outage a long poll would delay detecting that the store is back.
         let wait = if self.outage.is_active() {
@@ -172,9 +173,10 @@
             None | Some(RecordError::HistoryGone) => {
                 let now = clock::now();
                 if self.outage.record_answer() {
-                    known_state.roll.was_cut_off(now);
+                    known_state.host_table.was_cut_off(now);
                 }
-                let stale_after = self.with_follower(feed, |follower| follower.lead.stale_after());
+                let stale_after =
+                    self.with_follower(feed, |follower| follower.poll_schedule.stale_after());
                 known_state.store_answered(now, stale_after);
             }
             Some(_) => {
@@ -215,7 +217,7 @@
                     self.apply(feed, changes, Origin { source, as_of });
                     self.with_follower(feed, |follower| {
                         follower.advance(version);
-                        follower.lead.gap_filled(as_of);
+                        follower.poll_schedule.gap_filled(as_of);
                     });
                     return;
                 }
@@ -235,7 +237,7 @@
         } = query;
         let now = clock::now();
         let is_too_old = |follower: &mut Follower| {
-            let age = follower.lead.age(now).unwrap_or(Duration::MAX);
+            let age = follower.poll_schedule.age(now).unwrap_or(Duration::MAX);
             most_age.is_some_and(|max_age| age > max_age)
         };
         let version = self.with_follower(feed, |follower| follower.version)?;
@@ -251,7 +253,7 @@
             records,
             version,
         };
-        let as_of = self.with_follower(feed, |follower| follower.lead.as_of())?;
+        let as_of = self.with_follower(feed, |follower| follower.poll_schedule.as_of())?;
         Some(FeedState { changes, as_of })
     }
 
@@ -275,13 +277,13 @@
         records: Vec<Record>,
     ) -> FeedUpdate {
         let now = clock::now();
-        let as_of = self.with_follower(feed, |follower| follower.lead.as_of());
+        let as_of = self.with_follower(feed, |follower| follower.poll_schedule.as_of());
         let known_state = self.known_state.borrow();
         FeedUpdate {
             feed,
             version,
             digest: known_state.digest(feed),
-            store_uptime: known_state.store_answers(now),
+            store_uptime: known_state.store_uptime(now),
             // Updates are sent only after records were received from the store, or from a host that
             // had them from the store, so the age is known.
             as_of: as_of.unwrap_or(now),
@@ -297,7 +299,7 @@
         let version = self.with_follower(feed, |follower| follower.version);
         let mut kind = PollSchedule::classify(version, update.version);
         let mut applied = Vec::new();
-        let stale_after = self.with_follower(feed, |follower| follower.lead.stale_after());
+        let stale_after = self.with_follower(feed, |follower| follower.poll_schedule.stale_after());
         let mut known_state = self.known_state.borrow_mut();
         known_state.store_reported(now, &from.name, update.store_uptime, stale_after);
         let dropped = known_state.has_overdue_reports(now) && known_state.expire(now);
@@ -312,7 +314,7 @@
                 version: update.version,
             };
             let origin = Origin {
-                source: Source::News,
+                source: Source::Update,
                 as_of: update.as_of,
             };
             applied = self.apply(feed, changes, origin);
@@ -347,14 +349,14 @@
         let now = clock::now();
         self.take_peer_key(&changes);
         let mut known_state = self.known_state.borrow_mut();
-        let passed_on = known_state.apply(now, feed, changes, origin);
+        let to_forward = known_state.apply(now, feed, changes, origin);
         let is_usable = |record: &Record| !matches!(record, Record::Unusable { .. });
-        let changed = passed_on.iter().any(is_usable) || known_state.expire(now);
+        let changed = to_forward.iter().any(is_usable) || known_state.expire(now);
         drop(known_state);
         if changed {
             self.publish();
         }
-        passed_on
+        to_forward
     }
 
     pub(super) fn with_follower<T>(&self, feed: Feed, with: impl FnOnce(&mut Follower) -> T) -> T {
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -47,13 +47,13 @@
     /// Start of the first call that failed since the store was last heard from, directly or through
     /// another host; none if no call failed.
     store_lost_since: Option<Instant>,
-    pub lead: PollSchedule,
+    pub poll_schedule: PollSchedule,
     /// Recently applied records, for hosts that lack some of them.
     pub recent: RecentChanges,
     /// Notified when records are missing.
-    pub gap: Rc<Notify>,
+    pub gap_found: Rc<Notify>,
     /// Notified when the request to another host for missing records has completed.
-    pub gap_tried: Rc<Notify>,
+    pub gap_attempted: Rc<Notify>,
     /// Records applied while earlier ones were missing. Other hosts lack the earlier ones too, so
     /// these are passed on together with the records that close the gap.
     held_back: Vec<Record>,
@@ -78,13 +78,13 @@
             recent: RecentChanges::default(),
             held_back: Vec::new(),
             missing: None,
-            lead: PollSchedule::new(
+            poll_schedule: PollSchedule::new(
                 &settings.host,
                 &feed.to_string(),
                 shortest_bound(feed, &settings.bounds),
             ),
-            gap: Rc::default(),
-            gap_tried: Rc::default(),
+            gap_found: Rc::default(),
+            gap_attempted: Rc::default(),
             is_filling: false,
             had_gap: false,
         }
@@ -99,9 +99,9 @@
     /// become stale.
     fn renew(&mut self, source: Source, renew_schedule: impl FnOnce(&mut PollSchedule)) {
         let now = clock::now();
-        let age = self.lead.age(now).unwrap_or_default();
+        let age = self.poll_schedule.age(now).unwrap_or_default();
         let longest = self.longest_wait.take();
-        if age > self.lead.stale_after() {
+        if age > self.poll_schedule.stale_after() {
             tracing::info!(
                 event = "feed_renewed_late",
                 feed = %self.feed,
@@ -111,15 +111,15 @@
                 longest_ms = longest.map(|(_, took)| took.as_millis() as u64),
             );
         }
-        renew_schedule(&mut self.lead);
-        if let Some(as_of) = self.lead.as_of() {
+        renew_schedule(&mut self.poll_schedule);
+        if let Some(as_of) = self.poll_schedule.as_of() {
             self.age.record(as_of);
         }
     }
 
     /// Records an answer of the store that was valid at `as_of`.
     pub fn store_answered(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::Store, |lead| lead.polled(as_of));
+        self.renew(Source::Store, |schedule| schedule.polled(as_of));
         self.advance(version);
         self.missing = None;
         if let Some(since) = self.store_lost_since.take() {
@@ -135,13 +135,13 @@
 
     /// Records that the whole feed up to `version` was read from another host.
     pub fn loaded(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.bootstrapped(as_of));
+        self.renew(Source::State, |schedule| schedule.bootstrapped(as_of));
         self.advance(version);
     }
 
     /// Records that another host has provided the missing records up to `version`.
     pub fn gap_filled(&mut self, version: FeedVersion, as_of: Instant) {
-        self.renew(Source::State, |lead| lead.gap_filled(as_of));
+        self.renew(Source::State, |schedule| schedule.gap_filled(as_of));
         self.advance(version);
         self.had_gap = false;
     }
@@ -179,7 +179,7 @@
     /// Records that the request to another host has completed, successfully or not.
     pub fn end_filling(&mut self) {
         self.is_filling = false;
-        self.gap_tried.notify_one();
+        self.gap_attempted.notify_one();
     }
 
     /// Time for which this host need not poll the store, because other hosts send updates or may
@@ -188,11 +188,11 @@
         let may_be_filled = self.is_filling || self.missing.is_some();
         match may_be_filled {
             true => self
-                .lead
+                .poll_schedule
                 .fresh_for(now)
                 .unwrap_or(GAP_TIMEOUT)
                 .min(GAP_TIMEOUT),
-            false => self.lead.poll_delay(now),
+            false => self.poll_schedule.poll_delay(now),
         }
     }
 
@@ -209,22 +209,24 @@
         self.store_lost_since = None;
         let from = &missing.sender.name;
         match kind {
-            UpdateKind::Known => {
-                self.renew(Source::News, |lead| lead.received_update(from, kind, as_of))
-            }
+            UpdateKind::Known => self.renew(Source::Update, |schedule| {
+                schedule.received_update(from, kind, as_of)
+            }),
             UpdateKind::New => {
-                self.renew(Source::News, |lead| lead.received_update(from, kind, as_of));
+                self.renew(Source::Update, |schedule| {
+                    schedule.received_update(from, kind, as_of)
+                });
                 self.advance(version);
                 self.had_gap = false;
             }
             UpdateKind::Gap => {
-                self.lead.received_update(from, kind, as_of);
+                self.poll_schedule.received_update(from, kind, as_of);
                 tracing::debug!(event = "feed_gap", feed = %self.feed, from, again = self.had_gap);
                 if std::mem::replace(&mut self.had_gap, true) {
                     self.version = None;
                 }
                 self.missing = Some(missing);
-                self.gap.notify_one();
+                self.gap_found.notify_one();
             }
         }
     }
@@ -236,7 +238,7 @@
             self.version = None;
             return;
         }
-        self.lead.poll_failed();
+        self.poll_schedule.poll_failed();
         if self.store_lost_since.is_none() {
             tracing::warn!(event = "store_lost", feed = %self.feed, %error);
             self.store_lost_since = Some(started_at);
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -42,8 +42,8 @@
     /// pass updates on.
     pub(super) fn send_to_own_group(&self, update: &FeedUpdate) {
         let group = self.group();
-        let hosts = group.iter().chain([&self.me]);
-        let is_first = first_ranked(&update.feed.to_string(), hosts) == Some(&self.me);
+        let hosts = group.iter().chain([&self.this_host]);
+        let is_first = first_ranked(&update.feed.to_string(), hosts) == Some(&self.this_host);
         if is_first && !self.is_one_group() {
             self.send_update(update, &group);
         }
@@ -64,18 +64,20 @@
     /// The other hosts of this host's group.
     pub(super) fn group(&self) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
-        let groups = self.groups(&known_state.roll);
-        let own = groups.into_iter().find(|group| group.contains(&&self.me));
+        let groups = self.groups(&known_state.host_table);
+        let own = groups
+            .into_iter()
+            .find(|group| group.contains(&&self.this_host));
         let others = own.into_iter().flatten();
-        let others = others.filter(|host| host.name != self.me.name);
+        let others = others.filter(|host| host.name != self.this_host.name);
         others.cloned().collect()
     }
 
     /// The host of each other group that ranks first for a feed.
     pub(super) fn first_hosts(&self, feed: Feed) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
-        let groups = self.groups(&known_state.roll).into_iter();
-        let others = groups.filter(|group| !group.contains(&&self.me));
+        let groups = self.groups(&known_state.host_table).into_iter();
+        let others = groups.filter(|group| !group.contains(&&self.this_host));
         let key = feed.to_string();
         let first_hosts = others.filter_map(|group| first_ranked(&key, group.into_iter()));
         first_hosts.cloned().collect()
@@ -83,12 +85,15 @@
 
     /// Whether the deployment is a single group.
     pub(super) fn is_one_group(&self) -> bool {
-        self.groups(&self.known_state.borrow().roll).len() == 1
+        self.groups(&self.known_state.borrow().host_table).len() == 1
     }
 
-    fn groups<'a>(&'a self, roll: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
-        let others = roll.known().map(|host| &host.entry);
-        host_groups(others.chain([&self.me]), &self.common.settings.regions)
+    fn groups<'a>(&'a self, host_table: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
+        let others = host_table.known().map(|host| &host.entry);
+        host_groups(
+            others.chain([&self.this_host]),
+            &self.common.settings.regions,
+        )
     }
 
     /// A client of a host; none while a message to the host is in flight.
@@ -121,12 +126,12 @@
         let leases = self.common.allowances.leases();
         let owners: BTreeSet<&HostName> = leases.owners().collect();
         let known_state = self.known_state.borrow();
-        let lenders = known_state.roll.list().rows();
-        let is_near = |host: &HostEntry| host.zone == self.me.zone;
+        let lenders = known_state.host_table.list().rows();
+        let is_near = |host: &HostEntry| host.zone == self.this_host.zone;
         let now = clock::now();
-        let mut limit_asks = self.limit_asks.borrow_mut();
-        limit_asks.forget_idle(now);
-        let is_asked = |host: &HostEntry| limit_asks.asks(now, &host.name);
+        let mut holder_selector = self.holder_selector.borrow_mut();
+        holder_selector.forget_idle(now);
+        let is_asked = |host: &HostEntry| holder_selector.asks(now, &host.name);
         let lenders =
             lenders.filter(|host| owners.contains(&host.name) || is_near(host) || is_asked(host));
         let receivers: Vec<&HostEntry> = receivers.iter().chain(lenders).collect();
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -58,7 +58,7 @@
     pub(super) async fn run_membership(self: Rc<Self>, peers: TcpListener) {
         let key = self.peer_key().await;
         let local = Local {
-            host: self.me.clone(),
+            host: self.this_host.clone(),
             incarnation: self.incarnation,
             key,
             names: Rc::default(),
@@ -82,7 +82,7 @@
         let beat = self.heartbeat(true);
         let clients: Vec<Rc<PeerClient>> = self.clients.borrow().values().cloned().collect();
         let heartbeats = join_all(clients.iter().map(|client| client.heartbeat(&beat)));
-        let removed = self.records.remove(HOSTS_TABLE, &self.me.name);
+        let removed = self.records.remove(HOSTS_TABLE, &self.this_host.name);
         let (_, removed) = futures::join!(heartbeats, timeout(LEAVE_TIMEOUT, removed));
         if !matches!(removed, Ok(Ok(()))) {
             tracing::warn!(event = "own_row_not_removed");
@@ -158,7 +158,12 @@
     /// removed it, and removes rows of lost hosts.
     async fn maintain_host_list(self: Rc<Self>) {
         loop {
-            let is_listed = self.known_state.borrow().roll.list().lists(&self.me);
+            let is_listed = self
+                .known_state
+                .borrow()
+                .host_table
+                .list()
+                .lists(&self.this_host);
             if !is_listed {
                 self.write_own_row().await;
             }
@@ -169,11 +174,11 @@
 
     /// Writes this host's row, with retries until the store has accepted it.
     async fn write_own_row(&self) {
-        let value = serde_json::to_vec(&self.me).expect("entries are valid JSON");
+        let value = serde_json::to_vec(&self.this_host).expect("entries are valid JSON");
         let mut backoff = backoff(MAX_ROW_BACKOFF);
         while *self.common.stage.borrow() == Stage::Serving {
             let row = OwnRow {
-                key: self.me.name.clone(),
+                key: self.this_host.name.clone(),
                 value: value.clone(),
             };
             match self.records.put(HOSTS_TABLE, row).await {
@@ -189,7 +194,7 @@
         let now = clock::now();
         let lost: Vec<HostName> = {
             let known_state = self.known_state.borrow();
-            let lost = known_state.roll.lost(now, &heartbeat_targets);
+            let lost = known_state.host_table.lost(now, &heartbeat_targets);
             lost.into_iter().cloned().collect()
         };
         for name in lost {
@@ -208,7 +213,7 @@
             let gap = now.saturating_duration_since(last);
             if gap > PAUSE_THRESHOLD {
                 tracing::warn!(event = "paused", ms = gap.as_millis() as u64);
-                self.known_state.borrow_mut().roll.resume(now);
+                self.known_state.borrow_mut().host_table.resume(now);
             }
             last = now;
             let heartbeat_targets = self.heartbeat_targets();
@@ -236,7 +241,10 @@
         match client.heartbeat(&beat).await {
             Ok(_) => {
                 let now = clock::now();
-                self.known_state.borrow_mut().roll.answered(now, &name);
+                self.known_state
+                    .borrow_mut()
+                    .host_table
+                    .answered(now, &name);
             }
             Err(error) => tracing::debug!(event = "heartbeat_failed", host = name, %error),
         }
@@ -245,7 +253,7 @@
     fn heartbeat(&self, leaving: bool) -> Beat {
         self.heartbeats_sent.set(self.heartbeats_sent.get() + 1);
         let heartbeat = Heartbeat {
-            host: self.me.clone(),
+            host: self.this_host.clone(),
             incarnation: self.incarnation,
             sequence: self.heartbeats_sent.get(),
             leaving,
@@ -266,7 +274,7 @@
     pub(super) fn heartbeat_targets(&self) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
         let mut by_region: BTreeMap<&str, Vec<&HostEntry>> = BTreeMap::new();
-        for host in known_state.roll.known() {
+        for host in known_state.host_table.known() {
             let region = self.common.settings.regions.get(&host.entry.zone);
             let region = region.map_or("", String::as_str);
             by_region.entry(region).or_default().push(&host.entry);
@@ -280,7 +288,7 @@
                 MAX_TARGETS_OTHER_REGION
             };
             let names = hosts.iter().map(|host| host.name.as_str());
-            let ranked = rendezvous::rank(&self.me.name, names);
+            let ranked = rendezvous::rank(&self.this_host.name, names);
             let chosen = ranked.into_iter().take(max_targets);
             heartbeat_targets.extend(
                 chosen
@@ -306,7 +314,7 @@
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
         let changed = known_state
-            .roll
+            .host_table
             .record_heartbeat(now, host, *incarnation, *leaving);
         let version = known_state.version();
         drop(known_state);
@@ -328,7 +336,7 @@
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
-            .roll
+            .host_table
             .record_heartbeat(now, from, incarnation, false);
         drop(known_state);
         self.0.receive_update(from, update);
@@ -337,7 +345,7 @@
     fn asked(&self, from: &HostEntry, incarnation: Incarnation, ask: HostMessage) -> HostReply {
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
-            .roll
+            .host_table
             .record_heartbeat(clock::now(), from, incarnation, false);
         drop(known_state);
         match ask {
--- a/crates/gateway/src/control/known_state.rs
+++ b/crates/gateway/src/control/known_state.rs
@@ -31,8 +31,8 @@
     evacuations: Evacuations,
     catalog: Catalog,
     store: StoreAnswers,
-    conditions: ObservedState,
-    pub roll: HostTable,
+    observed: ObservedState,
+    pub host_table: HostTable,
     /// Upstreams by service; none while they have to be computed again.
     pools: Option<Arc<HashMap<ServiceName, ServicePool>>>,
     /// Whether the upstreams' reports had been read when the last view was made.
@@ -41,11 +41,11 @@
     pub refused_work_loaded: bool,
     /// Hosts in the last view; compared to detect changes caused by time alone.
     advertised: BTreeMap<RegionName, Vec<SocketAddr>>,
-    near_hosts: Option<Vec<HostName>>,
+    region_hosts: Option<Vec<HostName>>,
     /// Keys of unreadable reports that were logged.
     refused_reports: BTreeSet<String>,
-    sharers: Option<usize>,
-    me: HostName,
+    sharing_hosts: Option<usize>,
+    this_host: HostName,
     region: RegionName,
 }
 
@@ -59,16 +59,16 @@
             evacuations: Evacuations::default(),
             catalog: Catalog::default(),
             store: StoreAnswers::default(),
-            conditions: ObservedState::default(),
-            roll: HostTable::new(&common.settings.host),
+            observed: ObservedState::default(),
+            host_table: HostTable::new(&common.settings.host),
             pools: None,
             upstreams_loaded: false,
             refused_work_loaded: false,
             advertised: BTreeMap::new(),
-            near_hosts: None,
+            region_hosts: None,
             refused_reports: BTreeSet::new(),
-            sharers: None,
-            me: common.settings.host.clone(),
+            sharing_hosts: None,
+            this_host: common.settings.host.clone(),
             region: common.settings.region.clone(),
         }
     }
@@ -81,8 +81,8 @@
     /// Records that the store answered this host.
     pub fn store_answered(&mut self, now: Instant, stale_after: Duration) {
         self.store.answered(now, stale_after);
-        let me = self.me.clone();
-        self.record_store_recovery(&me);
+        let this_host = self.this_host.clone();
+        self.record_store_recovery(&this_host);
     }
 
     /// Applies another host's account of the store's availability.
@@ -98,7 +98,7 @@
     }
 
     /// This host's account of the store's availability, as sent to other hosts.
-    pub fn store_answers(&self, now: Instant) -> StoreUptime {
+    pub fn store_uptime(&self, now: Instant) -> StoreUptime {
         self.store.uptime(now)
     }
 
@@ -136,15 +136,15 @@
         changes: Changes,
         origin: Origin,
     ) -> Vec<Record> {
-        let passed_on = match feed {
+        let to_forward = match feed {
             Feed::Routes => self.apply_routes(now, changes),
             Feed::Upstreams => self.apply_upstreams(now, &changes, origin),
             Feed::Hosts => return self.apply_hosts(now, &changes),
         };
-        if !passed_on.is_empty() {
+        if !to_forward.is_empty() {
             self.pools = None;
         }
-        passed_on
+        to_forward
     }
 
     /// All current records of a feed.
@@ -158,7 +158,7 @@
             }
             Feed::Upstreams => self.catalog.state(now),
             Feed::Hosts => {
-                let rows = self.roll.list().rows();
+                let rows = self.host_table.list().rows();
                 rows.cloned().map(Record::Host).collect()
             }
         }
@@ -169,29 +169,29 @@
         match feed {
             Feed::Routes => self.evacuations.digest() ^ self.document.version,
             Feed::Upstreams => self.catalog.digest(),
-            Feed::Hosts => self.roll.list().digest(),
+            Feed::Hosts => self.host_table.list().digest(),
         }
     }
 
     fn apply_routes(&mut self, now: Instant, changes: Changes) -> Vec<Record> {
-        let mut passed_on = Vec::new();
+        let mut to_forward = Vec::new();
         let mut evacuated = match changes.whole {
             true => BTreeSet::new(),
             false => self.evacuations.wanted.clone(),
         };
         for record in changes.records {
             match record {
-                Record::Document(document) => passed_on.extend(self.apply_document(*document)),
+                Record::Document(document) => to_forward.extend(self.apply_document(*document)),
                 Record::DocumentChange(change) => {
                     let document = change.apply(&self.document);
-                    passed_on.extend(document.and_then(|document| self.apply_document(document)));
+                    to_forward.extend(document.and_then(|document| self.apply_document(document)));
                 }
                 Record::Evacuation { zone, wanted: true } => drop(evacuated.insert(zone)),
                 Record::Evacuation { zone, .. } => drop(evacuated.remove(&zone)),
                 Record::Unusable { key, reason } => {
                     let version = self.document.version;
                     tracing::warn!(event = "document_refused", key, reason, in_force = version);
-                    passed_on.push(Record::Unusable { key, reason });
+                    to_forward.push(Record::Unusable { key, reason });
                 }
                 _ => {}
             }
@@ -200,8 +200,8 @@
         if !changed.is_empty() {
             tracing::info!(event = "evacuations", zones = ?self.evacuations.wanted);
         }
-        passed_on.extend(changed);
-        passed_on
+        to_forward.extend(changed);
+        to_forward
     }
 
     /// Applies a document if it is newer than the one in force. Returns the change to pass on to
@@ -244,7 +244,7 @@
                 tracing::warn!(event = "row_refused", row = key, reason);
             }
         }
-        self.roll.apply(now, changes)
+        self.host_table.apply(now, changes)
     }
 
     /// Removes expired entries. Returns whether the next view differs from the last one.
@@ -253,8 +253,9 @@
         if dropped {
             self.pools = None;
         }
-        let (sharers, near_hosts) = self.sharing_hosts(now);
-        let sharers_changed = sharers != self.sharers || near_hosts != self.near_hosts;
+        let (sharing_hosts, region_hosts) = self.hosts_sharing_bounds(now);
+        let sharers_changed =
+            sharing_hosts != self.sharing_hosts || region_hosts != self.region_hosts;
         let loaded = self.catalog.is_read() != self.upstreams_loaded;
         dropped || sharers_changed || loaded || self.advertised_hosts(now) != self.advertised
     }
@@ -266,7 +267,7 @@
             tracing::info!(event = "hosts_named", hosts = ?advertised);
         }
         self.advertised = advertised;
-        (self.sharers, self.near_hosts) = self.sharing_hosts(now);
+        (self.sharing_hosts, self.region_hosts) = self.hosts_sharing_bounds(now);
         self.upstreams_loaded = self.catalog.is_read();
         let pools = self.pools.get_or_insert_with(|| {
             let pools = RouteView::pools(
@@ -274,7 +275,7 @@
                 &self.catalog,
                 &self.evacuations,
                 &self.regions,
-                &mut self.conditions,
+                &mut self.observed,
                 now,
             );
             pools.into()
@@ -288,27 +289,27 @@
             refused_work_loaded: self.refused_work_loaded,
             services: Arc::clone(pools),
             hosts: self.advertised.clone(),
-            sharing_hosts: self.sharers,
-            region_hosts: self.near_hosts.clone(),
+            sharing_hosts: self.sharing_hosts,
+            region_hosts: self.region_hosts.clone(),
         }
     }
 
     /// The number of hosts that share limits, and the names of those in the own region; none while
     /// this host has no share of any limit.
-    fn sharing_hosts(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
-        let others = self.roll.sharing_hosts(now);
-        let Some(others) = others.filter(|_| self.roll.has_share(now)) else {
+    fn hosts_sharing_bounds(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
+        let others = self.host_table.sharing_hosts(now);
+        let Some(others) = others.filter(|_| self.host_table.has_share(now)) else {
             return (None, None);
         };
-        let mut near = vec![self.me.clone()];
+        let mut region_hosts = vec![self.this_host.clone()];
         let mut count = 1;
         for host in others {
             count += 1;
             if self.regions.get(&host.zone) == Some(&self.region) {
-                near.push(host.name.clone());
+                region_hosts.push(host.name.clone());
             }
         }
-        (Some(count), Some(near))
+        (Some(count), Some(region_hosts))
     }
 
     /// Version of the document in force.
@@ -319,7 +320,7 @@
     /// Caller addresses of the other hosts that callers may be sent to, by region.
     fn advertised_hosts(&self, now: Instant) -> BTreeMap<RegionName, Vec<SocketAddr>> {
         let mut advertised: BTreeMap<RegionName, Vec<SocketAddr>> = BTreeMap::new();
-        for host in self.roll.advertised(now) {
+        for host in self.host_table.advertised(now) {
             if let Some(region) = self.regions.get(&host.entry.zone) {
                 let addresses = advertised.entry(region.clone()).or_default();
                 addresses.push(host.entry.caller_address);
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -34,8 +34,8 @@
 
     async fn load_feed(&self, feed: Feed) {
         self.wait_until_hosts_requested().await;
-        let max_age =
-            self.with_follower(feed, |follower| follower.lead.stale_after()) * MAX_STATE_AGE_FACTOR;
+        let max_age = self.with_follower(feed, |follower| follower.poll_schedule.stale_after())
+            * MAX_STATE_AGE_FACTOR;
         let query = StateQuery {
             feed,
             after: None,
@@ -60,7 +60,7 @@
         let group = self.group();
         let names = group.iter().map(|host| host.name.as_str());
         let names_to_ask: Vec<String> = self.with_follower(feed, |follower| {
-            let names_to_ask = follower.lead.bootstrap_hosts(names);
+            let names_to_ask = follower.poll_schedule.bootstrap_hosts(names);
             names_to_ask.into_iter().map(str::to_owned).collect()
         });
         let find = |name: &String| group.iter().find(|host| host.name == *name).cloned();
@@ -89,9 +89,9 @@
     /// and another feed holds the turn to call it, a host would apply no updates from other hosts
     /// for as long as the outage lasts.
     pub(super) async fn fill_gaps(self: Rc<Self>, feed: Feed) {
-        let gap = self.with_follower(feed, |follower| Rc::clone(&follower.gap));
+        let gap_found = self.with_follower(feed, |follower| Rc::clone(&follower.gap_found));
         loop {
-            gap.notified().await;
+            gap_found.notified().await;
             if let Some(missing) = self.with_follower(feed, Follower::take_missing) {
                 self.fill_gap(feed, &missing).await;
                 self.with_follower(feed, Follower::end_filling);
@@ -102,7 +102,7 @@
     /// Requests the missing records from the host that has them.
     async fn fill_gap(&self, feed: Feed, missing: &Missing) {
         let (version, reaches_store) = self.with_follower(feed, |follower| {
-            (follower.version, follower.lead.reaches_store())
+            (follower.version, follower.poll_schedule.reaches_store())
         });
         let is_filled = self.fill_after(feed, missing, version).await;
         // The whole feed is many times larger, but a host that can't reach the store has no other
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -46,23 +46,23 @@
             let holders = self.holders(ask);
             let names: Vec<&str> = holders.iter().map(|host| host.name.as_str()).collect();
             let next = {
-                let mut asks = self.limit_asks.borrow_mut();
-                asks.next(now, &start, &names, &self.me.name)
+                let mut selector = self.holder_selector.borrow_mut();
+                selector.next(now, &start, &names, &self.this_host.name)
             };
             let name = next.map_err(NoToken)?;
             let host = holders.iter().find(|host| host.name == name);
             let reply = match host {
-                Some(host) if host.name != self.me.name => {
+                Some(host) if host.name != self.this_host.name => {
                     let left = deadline.saturating_duration_since(now);
                     self.ask_holder(host, ask, left).await
                 }
-                _ => Some(self.give_token(&self.me.name, ask, holders.len())),
+                _ => Some(self.give_token(&self.this_host.name, ask, holders.len())),
             };
             if reply == Some(LimitReply::Granted) {
                 return Ok(());
             }
-            let mut asks = self.limit_asks.borrow_mut();
-            asks.answered(clock::now(), &start, name, reply);
+            let mut selector = self.holder_selector.borrow_mut();
+            selector.answered(clock::now(), &start, name, reply);
         }
     }
 
@@ -86,7 +86,7 @@
     /// Answers another host's token request.
     pub(super) fn answer_limit(&self, from: &str, ask: &LimitTokenRequest) -> LimitReply {
         let holders = self.holders(ask);
-        match holders.iter().any(|host| host.name == self.me.name) {
+        match holders.iter().any(|host| host.name == self.this_host.name) {
             true => self.give_token(from, ask, holders.len()),
             false => LimitReply::NotAHolder,
         }
@@ -115,7 +115,7 @@
     /// don't know of would exceed the total.
     fn holders(&self, ask: &LimitTokenRequest) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
-        let rows = known_state.roll.list().rows();
+        let rows = known_state.host_table.list().rows();
         let regions = &self.common.settings.regions;
         let region = regions.get(&ask.zone);
         let is_near = |host: &&HostEntry| region.is_some() && regions.get(&host.zone) == region;
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -50,7 +50,7 @@
 pub(crate) struct Control {
     common: Common,
     records: Box<dyn Records>,
-    me: HostEntry,
+    this_host: HostEntry,
     incarnation: Incarnation,
     known_state: RefCell<KnownState>,
     routes: RefCell<Follower>,
@@ -73,8 +73,8 @@
     unresponsive_zone_hosts: RefCell<BTreeMap<HostName, Instant>>,
     /// Shares of upstreams' rate limits that this host holds.
     limit_tokens: RefCell<LimitTokens>,
-    /// State of this host's requests to the holders of upstreams' rate limits.
-    limit_asks: RefCell<HolderSelector>,
+    /// Selects the holders of upstreams' rate limits that this host asks for tokens.
+    holder_selector: RefCell<HolderSelector>,
     /// Number of heartbeats sent.
     heartbeats_sent: Cell<u64>,
 }
@@ -95,7 +95,7 @@
     incoming: Incoming,
 ) {
     let settings = &common.settings;
-    let me = HostEntry {
+    let this_host = HostEntry {
         name: settings.host.clone(),
         zone: settings.zone.clone(),
         caller_address: settings.caller_address,
@@ -110,7 +110,7 @@
         known_state: RefCell::new(KnownState::new(&common)),
         incarnation,
         pool: RefCell::new(TokenPool::new(incarnation, clock::now(), may_have_lent)),
-        me,
+        this_host,
         routes: RefCell::new(Follower::new(
             Feed::Routes,
             &common.settings,
@@ -130,7 +130,7 @@
         update_sender: UpdateSender::default(),
         unresponsive_zone_hosts: RefCell::default(),
         limit_tokens: RefCell::default(),
-        limit_asks: RefCell::default(),
+        holder_selector: RefCell::default(),
         heartbeats_sent: Cell::default(),
         records,
         common,
@@ -198,16 +198,20 @@
         let ms = suspended.as_millis() as u64;
         tracing::warn!(event = "suspended", ms);
         metrics::counter!("stagedeck_suspensions_total").increment(1);
-        self.known_state.borrow_mut().roll.resume(clock::now());
+        self.known_state
+            .borrow_mut()
+            .host_table
+            .resume(clock::now());
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            self.with_follower(feed, |follower| follower.gap_tried.notify_one());
+            self.with_follower(feed, |follower| follower.gap_attempted.notify_one());
         }
     }
 
     fn record_ages(&self) {
         let now = clock::now();
         for feed in [Feed::Routes, Feed::Upstreams, Feed::Hosts] {
-            if let Some(age) = self.with_follower(feed, |follower| follower.lead.age(now)) {
+            if let Some(age) = self.with_follower(feed, |follower| follower.poll_schedule.age(now))
+            {
                 metrics::gauge!("stagedeck_belief_age_seconds", "feed" => feed.to_string())
                     .set(age.as_secs_f64());
             }
--- a/crates/gateway/src/control/origin.rs
+++ b/crates/gateway/src/control/origin.rs
@@ -12,7 +12,7 @@
     Store,
     /// An update that another host sent unasked.
     #[display("news")]
-    News,
+    Update,
     /// Another host's answer to a request for missing records or for the whole feed.
     #[display("state")]
     State,
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -71,12 +71,12 @@
     async fn ask_zone_host(&self, group: TokenGroup, waiting: Vec<(CustomerName, u32)>) -> bool {
         let now = clock::now();
         let zone_host = self.zone_host(group, now);
-        let Some(zone_host) = zone_host.filter(|host| host.name != self.me.name) else {
+        let Some(zone_host) = zone_host.filter(|host| host.name != self.this_host.name) else {
             return false;
         };
         let message = HostMessage::Spare(waiting);
         let reply = self.ask_host(&zone_host, &message, ZONE_HOST_TIMEOUT).await;
-        let (Ok(HostReply::Tokens(TokenReply::ZoneLoans(spared))), HostMessage::Spare(waiting)) =
+        let (Ok(HostReply::Tokens(TokenReply::ZoneLoans(loans))), HostMessage::Spare(waiting)) =
             (reply, message)
         else {
             self.unresponsive_zone_hosts
@@ -86,8 +86,8 @@
         };
         let mut leases = self.common.allowances.leases();
         let mut is_complete = true;
-        for ((customer, _), spared) in waiting.iter().zip(&spared) {
-            is_complete &= leases.accept_zone_loan(clock::now(), now, customer, spared);
+        for ((customer, _), loan) in waiting.iter().zip(&loans) {
+            is_complete &= leases.accept_zone_loan(clock::now(), now, customer, loan);
         }
         drop(leases);
         self.common.allowances.notify_answered(group);
@@ -101,8 +101,8 @@
         let mut unresponsive = self.unresponsive_zone_hosts.borrow_mut();
         unresponsive.retain(|_, at| now.saturating_duration_since(*at) < UNRESPONSIVE_FOR);
         let hosts = self.listed(&known_state);
-        let near = hosts.filter(|host| host.zone == self.me.zone);
-        let responsive = near.filter(|host| !unresponsive.contains_key(&host.name));
+        let in_zone = hosts.filter(|host| host.zone == self.this_host.zone);
+        let responsive = in_zone.filter(|host| !unresponsive.contains_key(&host.name));
         first_ranked(&format!("tokens near {group}"), responsive).cloned()
     }
 
@@ -111,20 +111,20 @@
         let now = clock::now();
         let mut leases = self.common.allowances.leases();
         let mut lend = |(customer, need): &(CustomerName, u32)| {
-            let spared = leases.lend_to_zone(now, customer, *need);
+            let loan = leases.lend_to_zone(now, customer, *need);
             if leases.runs_low(now, customer) {
                 self.common.allowances.request_refill(group_of(customer));
             }
-            spared
+            loan
         };
         TokenReply::ZoneLoans(demand.iter().map(&mut lend).collect())
     }
 
     /// Drops the tokens of customers that no longer exist.
     pub(super) fn forget_customers(&self, customers: &CustomerTable) {
-        let is_there = |name: &str| customers.find(name).is_some();
-        self.common.allowances.leases().retain(is_there);
-        self.pool.borrow_mut().retain(is_there);
+        let exists = |name: &str| customers.find(name).is_some();
+        self.common.allowances.leases().retain(exists);
+        self.pool.borrow_mut().retain(exists);
     }
 
     fn has_allowances(&self) -> bool {
@@ -137,7 +137,7 @@
         let ranked: Vec<&str> = candidates.iter().map(|host| host.name.as_str()).collect();
         let now = clock::now();
         let zone_host = self.zone_host(group, now);
-        let lends_in_zone = zone_host.is_some_and(|host| host.name == self.me.name);
+        let lends_in_zone = zone_host.is_some_and(|host| host.name == self.this_host.name);
         let step = {
             let mut leases = self.common.allowances.leases();
             leases.set_zone_lender(group, lends_in_zone);
@@ -151,7 +151,9 @@
             LeaseStep::SendRequest(name, ask) => (name, ask),
         };
         let reply = match candidates.iter().find(|host| host.name == name) {
-            Some(host) if host.name == self.me.name => Ok(self.lend(&self.me.name, &ask)),
+            Some(host) if host.name == self.this_host.name => {
+                Ok(self.lend(&self.this_host.name, &ask))
+            }
             Some(host) => {
                 let message = HostMessage::Tokens(ask.clone());
                 match self.ask_host(host, &message, POOL_TIMEOUT).await {
@@ -194,7 +196,7 @@
         let reply = timeout(within, client.ask(message)).await;
         let reply = reply.unwrap_or(Err(PeerError::Late))?;
         let mut known_state = self.known_state.borrow_mut();
-        known_state.roll.answered(clock::now(), &host.name);
+        known_state.host_table.answered(clock::now(), &host.name);
         Ok(reply)
     }
 
@@ -207,8 +209,12 @@
             Some(TokenBound::new(&allowance, &terms))
         };
         let now = clock::now();
-        let counts =
-            from == self.me.name || self.known_state.borrow().roll.counts_in_bounds(now, from);
+        let counts = from == self.this_host.name
+            || self
+                .known_state
+                .borrow()
+                .host_table
+                .counts_in_bounds(now, from);
         let mut pool = self.pool.borrow_mut();
         pool.handle_request(now, from, counts, ask, view.sharing_hosts, &bound)
     }
@@ -233,8 +239,12 @@
         let of_region =
             |host: &&HostEntry| settings.regions.get(&host.zone) == Some(&settings.region);
         let in_region = first_ranked(&key, rest.clone().filter(of_region));
-        let in_zone = first_ranked(&key, rest.filter(|host| host.zone == self.me.zone));
-        for host in in_region.into_iter().chain(in_zone).chain([&self.me]) {
+        let in_zone = first_ranked(&key, rest.filter(|host| host.zone == self.this_host.zone));
+        for host in in_region
+            .into_iter()
+            .chain(in_zone)
+            .chain([&self.this_host])
+        {
             if !chosen.contains(&host) {
                 chosen.push(host);
             }
@@ -247,8 +257,8 @@
         &'a self,
         known_state: &'a KnownState,
     ) -> impl Iterator<Item = &'a HostEntry> + Clone {
-        let rows = known_state.roll.list().rows();
-        let others = rows.filter(|row| row.name != self.me.name);
-        others.chain([&self.me])
+        let rows = known_state.host_table.list().rows();
+        let others = rows.filter(|row| row.name != self.this_host.name);
+        others.chain([&self.this_host])
     }
 }
--- a/crates/gateway/src/control/work_updates.rs
+++ b/crates/gateway/src/control/work_updates.rs
@@ -43,7 +43,7 @@
                 event: pending
                     .update
                     .event
-                    .aged_by(clock::elapsed(pending.learned)),
+                    .aged_by(clock::elapsed(pending.learned_at)),
                 ..pending.update
             };
             self.send_work(batch.iter().map(current).collect(), self.group());
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -153,7 +153,7 @@
         }
         let peers = sockets.peers.try_clone()?;
         let settings = Arc::new(settings);
-        let (stage, watched) = watch::channel(Stage::Serving);
+        let (stage, stage_receiver) = watch::channel(Stage::Serving);
         let (limits, limit_calls) = LimitCalls::new();
         let (suspects, work_updates) = SharedSuspects::new(&settings.host);
         let common = Common {
@@ -164,7 +164,7 @@
             allowances: Arc::new(Allowances::new()),
             limits,
             suspects: Arc::new(suspects),
-            stage: watched,
+            stage: stage_receiver,
         };
         let bounds = Arc::clone(&common.bounds);
         let shared = common.clone();
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -15,7 +15,7 @@
 /// An update for other hosts.
 pub(crate) struct PendingWorkUpdate {
     /// When this host learned of the event.
-    pub learned: Instant,
+    pub learned_at: Instant,
     pub update: WorkUpdate,
     /// Whether all hosts are told, not only those of the own group. A first crash, and the finding
     /// that the request did not cause it, go to the own group only: with hundreds of hosts, each
@@ -32,9 +32,9 @@
 
 impl SharedSuspects {
     /// Creates empty records, and the receiver of updates for other hosts.
-    pub fn new(me: &str) -> (Self, mpsc::UnboundedReceiver<PendingWorkUpdate>) {
+    pub fn new(this_host: &str) -> (Self, mpsc::UnboundedReceiver<PendingWorkUpdate>) {
         let (updates, receiver) = mpsc::unbounded_channel();
-        let suspects = Mutex::new(Suspects::new(me));
+        let suspects = Mutex::new(Suspects::new(this_host));
         (SharedSuspects { suspects, updates }, receiver)
     }
 
@@ -42,7 +42,8 @@
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides whether to admit a request. Also returns the number of crashes attributed to the request.
+    /// Decides whether to admit a request. Also returns the number of crashes attributed to the
+    /// request.
     pub fn admit(&self, work: WorkIdentity) -> (Admission, u32) {
         let mut suspects = self.suspects();
         let admission = suspects.admit(clock::now(), work);
@@ -59,15 +60,15 @@
                 work = format_key(work.request),
                 object = format_key(work.object)
             );
-            let told = WorkEvent::TrialStarted;
-            self.send_update(WorkUpdate { work, event: told }, true);
+            let event = WorkEvent::TrialStarted;
+            self.send_update(WorkUpdate { work, event }, true);
         }
         (admission, crashes)
     }
 
-    /// Remaining time for which a request must not be sent; none if it may be sent. `crashes` is the
-    /// number of crashes known when the request was admitted.
-    pub fn barred_for(&self, work: WorkIdentity, crashes: u32) -> Option<Duration> {
+    /// Remaining time for which a request must not be sent; none if it may be sent. `crashes` is
+    /// the number of crashes known when the request was admitted.
+    pub fn blocked_for(&self, work: WorkIdentity, crashes: u32) -> Option<Duration> {
         self.suspects().blocked_for(clock::now(), work, crashes)
     }
 
@@ -77,9 +78,9 @@
     }
 
     /// Records what a request of this host has shown.
-    pub fn record_event(&self, work: WorkIdentity, told: WorkEvent) {
-        let update = WorkUpdate { work, event: told };
-        if matches!(told, WorkEvent::Crashed { .. }) {
+    pub fn record_event(&self, work: WorkIdentity, event: WorkEvent) {
+        let update = WorkUpdate { work, event };
+        if matches!(event, WorkEvent::Crashed { .. }) {
             count("ended");
         }
         if let Some(crashes) = self.apply(&update, OWN) {
@@ -164,10 +165,10 @@
     }
 
     fn send_update(&self, update: WorkUpdate, for_all: bool) {
-        let learned = clock::now();
+        let learned_at = clock::now();
         // The control thread ends with the host.
         let _ = self.updates.send(PendingWorkUpdate {
-            learned,
+            learned_at,
             update,
             for_all,
         });
--- a/crates/gateway/src/traffic/crash_check.rs
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -18,13 +18,13 @@
     pub id: RequestId,
     pub work: WorkIdentity,
     /// When the request was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
 }
 
 impl CrashCheck {
     /// Runs the check, and records a crash.
     pub async fn run(self) {
-        let closed = clock::now();
+        let closed_at = clock::now();
         let report = &self.upstream.report;
         if !self.traffic.connections.is_refused(report.address).await {
             return;
@@ -36,20 +36,20 @@
             work = suspects::format_key(self.work.request),
             object = suspects::format_key(self.work.object)
         );
-        self.record_crash(self.work, self.sent, closed);
+        self.record_crash(self.work, self.sent_at, closed_at);
         // Callers that have disconnected do not report the outcome of their requests.
-        let abandoned = self.upstream.state().abandoned.take(closed);
-        for (work, sent) in abandoned {
-            self.record_crash(work, sent, closed);
+        let abandoned = self.upstream.state().abandoned.take(closed_at);
+        for (work, sent_at) in abandoned {
+            self.record_crash(work, sent_at, closed_at);
         }
     }
 
-    fn record_crash(&self, work: WorkIdentity, sent: Instant, closed: Instant) {
-        let told = WorkEvent::Crashed {
+    fn record_crash(&self, work: WorkIdentity, sent_at: Instant, closed_at: Instant) {
+        let event = WorkEvent::Crashed {
             start: self.upstream.report.start_hash(),
-            sent_ms: clock::elapsed(sent).as_millis() as u32,
-            crashed_ms: clock::elapsed(closed).as_millis() as u32,
+            sent_ms: clock::elapsed(sent_at).as_millis() as u32,
+            crashed_ms: clock::elapsed(closed_at).as_millis() as u32,
         };
-        self.traffic.common.suspects.record_event(work, told);
+        self.traffic.common.suspects.record_event(work, event);
     }
 }
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -49,8 +49,8 @@
         Some(timeout) => head.deadline.min(head.arrived + timeout),
         None => head.deadline,
     };
-    let patience = head.deadline.saturating_duration_since(head.arrived);
-    let caller_attempt = traffic.stats().caller_attempt(&route.name, patience);
+    let caller_timeout = head.deadline.saturating_duration_since(head.arrived);
+    let caller_attempt = traffic.stats().caller_attempt(&route.name, caller_timeout);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let work = WorkIdentity::new(&WorkParts {
         route: &route.name,
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -24,26 +24,26 @@
 pub(super) fn hosts(
     view: &RouteView,
     settings: &GatewaySettings,
-    asked: &HostLookup,
+    lookup: &HostLookup,
     serving: Option<SocketAddr>,
 ) -> Vec<SocketAddr> {
-    let of_zone = asked
+    let of_zone = lookup
         .zone
         .as_ref()
         .and_then(|zone| settings.regions.get(zone));
-    let region = asked
+    let region = lookup
         .region
         .as_ref()
         .or(of_zone)
         .unwrap_or(&settings.region);
-    let mut near = view.hosts.get(region).cloned().unwrap_or_default();
-    near.extend(serving.filter(|_| *region == settings.region));
-    if near.is_empty() {
-        near = view.hosts.values().flatten().copied().collect();
-        near.extend(serving);
+    let mut hosts = view.hosts.get(region).cloned().unwrap_or_default();
+    hosts.extend(serving.filter(|_| *region == settings.region));
+    if hosts.is_empty() {
+        hosts = view.hosts.values().flatten().copied().collect();
+        hosts.extend(serving);
     }
-    near.sort_unstable();
-    near.dedup();
-    near.truncate(MAX_HOSTS);
-    near
+    hosts.sort_unstable();
+    hosts.dedup();
+    hosts.truncate(MAX_HOSTS);
+    hosts
 }
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -161,8 +161,8 @@
         let failure = match send(self.traffic, choice, &mut outgoing, sent).await {
             Ok(answer) => {
                 let sent_ms = clock::elapsed(started_at).as_millis() as u32;
-                let told = WorkEvent::Answered { sent_ms };
-                self.traffic.common.suspects.record_event(self.work, told);
+                let event = WorkEvent::Answered { sent_ms };
+                self.traffic.common.suspects.record_event(self.work, event);
                 return Some(answer);
             }
             Err(failure) => failure,
@@ -182,7 +182,7 @@
                 upstream: Arc::clone(&choice.upstream),
                 id: self.head.id.clone(),
                 work: self.work,
-                sent: started_at,
+                sent_at: started_at,
             };
             // The check continues in its own task if the caller disconnects or the request times
             // out.
@@ -216,7 +216,7 @@
         };
         let settings = &self.traffic.common.settings;
         let bounds = self.traffic.common.bounds();
-        let mut wish = Requirements {
+        let mut requirements = Requirements {
             object: destination.object,
             by_object: destination.by_object,
             latency_goal: self.route.goal,
@@ -233,21 +233,21 @@
             this_host: &settings.host,
             region_hosts: None,
         };
-        let mut no_room = unreachable;
+        let mut unavailable = unreachable;
         for (region, pool) in destination.regions_to_ask(pool, self.route, self.sender) {
-            let near = *region == settings.region;
-            wish.region_hosts = view.region_hosts.as_deref().filter(|_| near);
-            match choose(pool, &wish, now) {
+            let is_own_region = *region == settings.region;
+            requirements.region_hosts = view.region_hosts.as_deref().filter(|_| is_own_region);
+            match choose(pool, &requirements, now) {
                 Ok(choice) => return Ok(choice),
-                Err(refused) => no_room = refused,
+                Err(error) => unavailable = error,
             }
             // A request does not leave a region that is merely full: the shares between regions are
             // shifted gradually.
-            if no_room.is_reachable() {
+            if unavailable.is_reachable() {
                 break;
             }
         }
-        Err(self.selection_error(no_room))
+        Err(self.selection_error(unavailable))
     }
 
     /// Fraction of the possible wait that the request accepts. More urgent requests accept longer
@@ -276,11 +276,11 @@
     }
 
     fn take_retry(&self, service: &ServiceName) -> bool {
-        let sharers = self.traffic.common.view.load().sharing_hosts;
+        let sharing_hosts = self.traffic.common.view.load().sharing_hosts;
         let now = clock::now();
         let bounds = self.traffic.common.bounds();
         let mut stats = self.traffic.stats();
-        let allowed = stats.take_retry(service, &bounds, sharers, self.caller_attempt, now);
+        let allowed = stats.take_retry(service, &bounds, sharing_hosts, self.caller_attempt, now);
         drop(stats);
         metrics::counter!("stagedeck_repeats_total", "allowed" => allowed.to_string()).increment(1);
         allowed
@@ -296,16 +296,16 @@
             return self.out_of_time();
         }
         match decide_retry(&self.sends, self.route.repeatable, false) {
-            RetryDecision::NotRun => self.not_sent(),
+            RetryDecision::NotRun => self.not_run_refusal(),
             _ => Refusal::MayHaveRun,
         }
     }
 
     /// The refusal of a request that has not run: the upstreams refused it, or it has been refused
     /// because of crashes since it was admitted.
-    fn not_sent(&self) -> Refusal {
+    fn not_run_refusal(&self) -> Refusal {
         let suspects = &self.traffic.common.suspects;
-        match suspects.barred_for(self.work, self.crashes_known) {
+        match suspects.blocked_for(self.work, self.crashes_known) {
             Some(retry_after) => Refusal::NotRun {
                 cause: Cause::CrashesUpstreams,
                 retry_after,
@@ -317,10 +317,10 @@
         }
     }
 
-    fn selection_error(&self, no_room: Unavailable) -> SelectionError {
+    fn selection_error(&self, unavailable: Unavailable) -> SelectionError {
         SelectionError {
-            refusal: self.unless_run(not_run(&no_room)),
-            passed_over: no_room.passed_over,
+            refusal: self.unless_run(not_run(&unavailable)),
+            passed_over: unavailable.passed_over,
         }
     }
 
@@ -355,14 +355,14 @@
 
 /// The refusal of a request that has not run. The retry time is randomized so that callers refused
 /// together do not return together.
-fn not_run(no_room: &Unavailable) -> Refusal {
+fn not_run(unavailable: &Unavailable) -> Refusal {
     Refusal::NotRun {
-        cause: match no_room.cause {
+        cause: match unavailable.cause {
             UnavailableCause::Unreachable => Cause::NoUpstream,
             UnavailableCause::Resting => Cause::UpstreamsRest,
             UnavailableCause::RateLimited => Cause::UpstreamsLimit,
             UnavailableCause::Full => Cause::NoRoom,
         },
-        retry_after: no_room.retry_after + no_room.retry_spread.mul_f64(rand::random()),
+        retry_after: unavailable.retry_after + unavailable.retry_spread.mul_f64(rand::random()),
     }
 }
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -154,8 +154,8 @@
         });
     }
     let suspects = &traffic.common.suspects;
-    let barred_for = suspects.barred_for(outgoing.work, outgoing.crashes_known);
-    if barred_for.is_some() {
+    let blocked_for = suspects.blocked_for(outgoing.work, outgoing.crashes_known);
+    if blocked_for.is_some() {
         count_send("not_sent");
         lease.give_back();
         return Err(SendFailure::new(
@@ -271,7 +271,7 @@
     let lacks_proof = status.is_success() && !headers.contains_key(&names.signature);
     let is_own = !status.is_informational() && !lacks_proof;
     let answer_head = AnswerHead {
-        sent: in_flight.started_at,
+        sent_at: in_flight.started_at,
         statement,
         is_own,
     };
--- a/crates/gateway/src/traffic/server.rs
+++ b/crates/gateway/src/traffic/server.rs
@@ -160,11 +160,11 @@
             false => StatusCode::SERVICE_UNAVAILABLE,
         });
     }
-    let Some(asked) = traffic.wire_format.parse_host_lookup(method, uri) else {
+    let Some(lookup) = traffic.wire_format.parse_host_lookup(method, uri) else {
         return status(StatusCode::NOT_FOUND);
     };
     let serving = serves.then_some(settings.caller_address);
-    let hosts = look_up::hosts(&view, settings, &asked, serving);
+    let hosts = look_up::hosts(&view, settings, &lookup, serving);
     if hosts.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
--- a/crates/gateway/src/traffic/statements.rs
+++ b/crates/gateway/src/traffic/statements.rs
@@ -14,7 +14,7 @@
 /// The head of an answer, as far as it concerns the upstream.
 pub(super) struct AnswerHead {
     /// When the request was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// What the head declares.
     pub statement: Statement,
     /// Whether the answer comes from the upstream itself and looks complete by its head. Only in
@@ -27,8 +27,12 @@
     let statement = &head.statement;
     let now = clock::now();
     if statement.leaves && upstream.state().statements.leave(now) {
-        let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
-        tracing::info!(event = "upstream_leaves", upstream = id, born_ms);
+        let (id, started_ms) = (&upstream.report.id, upstream.report.started_ms);
+        tracing::info!(
+            event = "upstream_leaves",
+            upstream = id,
+            born_ms = started_ms
+        );
     }
     if let Some(asked) = statement.rest {
         apply_rest(upstream, now, asked);
@@ -51,21 +55,28 @@
         return;
     }
     let granted = named.and_then(RequestedLimit::granted);
-    let change = upstream.state().statements.limit(now, head.sent, granted);
-    let (id, born_ms) = (&upstream.report.id, upstream.report.started_ms);
+    let change = upstream
+        .state()
+        .statements
+        .limit(now, head.sent_at, granted);
+    let (id, started_ms) = (&upstream.report.id, upstream.report.started_ms);
     match (change, named) {
         (Some(LimitChange::Named), Some(named)) => {
             let as_named = named.is_granted_in_full();
             tracing::info!(
                 event = "upstream_limits",
                 upstream = id,
-                born_ms,
+                born_ms = started_ms,
                 per_s = granted,
                 as_named
             );
         }
         (Some(LimitChange::Ended), _) => {
-            tracing::info!(event = "upstream_limit_over", upstream = id, born_ms);
+            tracing::info!(
+                event = "upstream_limit_over",
+                upstream = id,
+                born_ms = started_ms
+            );
         }
         _ => {}
     }
--- a/crates/gateway/src/traffic/stats.rs
+++ b/crates/gateway/src/traffic/stats.rs
@@ -32,7 +32,7 @@
     /// Estimated work time of each route at each service.
     estimates: HashMap<ServiceName, HashMap<RuleName, Estimate>>,
     /// How long callers of each route wait.
-    patience: HashMap<RuleName, CallerTimeouts>,
+    caller_timeouts: HashMap<RuleName, CallerTimeouts>,
     /// Version of the document that the routes belong to.
     version: u64,
 }
@@ -46,7 +46,7 @@
             region_shares: HashMap::new(),
             average_latency_ms: HashMap::new(),
             estimates: HashMap::new(),
-            patience: HashMap::new(),
+            caller_timeouts: HashMap::new(),
             version: 0,
         }
     }
@@ -70,16 +70,16 @@
         now: Instant,
     ) -> bool {
         if !self.region_shares.contains_key(service) {
-            let spread = RegionShare::new(free_capacity_fraction(
+            let share = RegionShare::new(free_capacity_fraction(
                 pool,
                 &self.region,
                 now,
                 self.average_latency(service),
             ));
-            self.region_shares.insert(service.to_owned(), spread);
+            self.region_shares.insert(service.to_owned(), share);
         }
-        let spread = self.region_shares.get_mut(service);
-        spread.is_none_or(|spread| spread.keeps_local(place))
+        let share = self.region_shares.get_mut(service);
+        share.is_none_or(|share| share.keeps_local(place))
     }
 
     /// Counts a request to a service for its retry budget.
@@ -88,16 +88,16 @@
     }
 
     /// Whether a caller of a route has sent the request before, judged by how long it will wait.
-    pub fn caller_attempt(&mut self, route: &str, patience: Duration) -> CallerAttempt {
-        if !self.patience.contains_key(route) {
-            self.patience
+    pub fn caller_attempt(&mut self, route: &str, timeout: Duration) -> CallerAttempt {
+        if !self.caller_timeouts.contains_key(route) {
+            self.caller_timeouts
                 .insert(route.to_owned(), CallerTimeouts::default());
         }
-        let route_patience = self
-            .patience
+        let timeouts = self
+            .caller_timeouts
             .get_mut(route)
             .expect("the entry exists or was just inserted");
-        route_patience.take(patience)
+        timeouts.take(timeout)
     }
 
     /// Takes a retry from the service's budget. Returns whether it is allowed.
@@ -105,12 +105,12 @@
         &mut self,
         service: &str,
         bounds: &Bounds,
-        sharers: Option<usize>,
-        of: CallerAttempt,
+        sharing_hosts: Option<usize>,
+        caller_attempt: CallerAttempt,
         now: Instant,
     ) -> bool {
         self.retry_share(service, bounds)
-            .take_retry(now, sharers, of)
+            .take_retry(now, sharing_hosts, caller_attempt)
     }
 
     fn retry_share(&mut self, service: &str, bounds: &Bounds) -> &mut RetryShare {
@@ -124,12 +124,12 @@
             self.retry_shares
                 .insert(service.to_owned(), RetryShare::default());
         }
-        let part = self
+        let share = self
             .retry_shares
             .get_mut(service)
             .expect("the entry exists or was just inserted");
-        part.set_bound(retry_ratio, retry_slack, retry_window);
-        part
+        share.set_bound(retry_ratio, retry_slack, retry_window);
+        share
     }
 
     /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
@@ -182,7 +182,7 @@
         self.version = view.version;
         let names: HashSet<&RuleName> = view.table.names().collect();
         self.service_spreads.retain(|name, _| names.contains(name));
-        self.patience.retain(|name, _| names.contains(name));
+        self.caller_timeouts.retain(|name, _| names.contains(name));
         for routes in self.estimates.values_mut() {
             routes.retain(|name, _| names.contains(name));
         }
@@ -212,7 +212,7 @@
         // The step is half of the shift allowed between two 2 s windows, which leaves room for
         // random variation.
         let step = bounds.max_region_shift / 2.0 / 2.0 * elapsed.as_secs_f64().min(2.0);
-        for (service, spread) in &mut self.region_shares {
+        for (service, share) in &mut self.region_shares {
             let average = self.average_latency_ms.get(service).copied().map(from_ms);
             let Some(pool) = view.services.get(service) else {
                 continue;
@@ -223,16 +223,16 @@
             let others = pool.regions.iter();
             let others = others.filter(|(region, _)| **region != self.region);
             let others_use = others.map(|(_, pool)| pool.utilization(now, hosts, average));
-            let before = spread.share();
+            let before = share.share();
             let others_use = others_use.fold(f64::INFINITY, f64::min);
             let free_capacity_fraction = free_capacity_fraction(pool, &self.region, now, average);
-            spread.adapt(step, own_use, others_use, free_capacity_fraction);
-            if before != spread.share() {
-                let own = spread.share();
+            share.adapt(step, own_use, others_use, free_capacity_fraction);
+            if before != share.share() {
+                let own = share.share();
                 tracing::info!(event = "region_share", service, own, own_use);
             }
             metrics::gauge!("stagedeck_region_share", "service" => service.clone())
-                .set(spread.share());
+                .set(share.share());
         }
     }
 }
