--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -121,7 +121,7 @@
         &self,
         customer: &str,
         notifications: &Notifications,
-        end: Instant,
+        deadline: Instant,
     ) -> Result<(), AllowanceError> {
         let mut waiting = Waiting {
             allowances: self,
@@ -137,7 +137,7 @@
                 TakeResult::Exhausted(time) => return Err(AllowanceError::Exhausted(time)),
                 TakeResult::Wait => notifications.requests_waiting.notify_one(),
             }
-            if timeout(clock::left(end), answered).await.is_err() {
+            if timeout(clock::left(deadline), answered).await.is_err() {
                 return Err(AllowanceError::NoAnswer(NO_ANSWER_RETRY_AFTER));
             }
         }
--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use super::follower::{Follower, Missing, shortest_bound};
+use super::follower::{Follower, MissingRecords, shortest_bound};
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Waits up to `most`, or until other hosts turn out to be unable to provide missing records.
+    /// Waits up to `max_wait`, or until other hosts turn out to be unable to provide missing
+    /// records.
     async fn wait_for_update(&self, feed: Feed, max_wait: Duration, wait: Wait) {
         let gap_attempted = self.with_follower(feed, |follower| Rc::clone(&follower.gap_attempted));
         let started_at = clock::now();
@@ -77,9 +78,9 @@
     async fn poll_in_turn(&self, feed: Feed) -> PollOutcome {
         // A starting host does not wait for a turn, so that it asks its seeds for all feeds at
         // once.
-        let has_met_hosts = self.local.borrow().is_some();
+        let has_joined = self.local.borrow().is_some();
         let started_at = clock::now();
-        let _turn = match has_met_hosts {
+        let _turn = match has_joined {
             true => self.outage.wait_for_turn().await,
             false => None,
         };
@@ -332,7 +333,7 @@
                 }
             }
         }
-        let missing = Missing {
+        let missing = MissingRecords {
             sender: from.clone(),
             digest: update.digest,
         };
--- a/crates/gateway/src/control/follower.rs
+++ b/crates/gateway/src/control/follower.rs
@@ -25,7 +25,7 @@
 
 /// Records that another host has applied and this host has not.
 #[derive(Debug, Clone)]
-pub(super) struct Missing {
+pub(super) struct MissingRecords {
     /// The other host.
     pub sender: HostEntry,
     /// Digest of all records that the other host has applied.
@@ -58,7 +58,7 @@
     /// these are passed on together with the records that close the gap.
     held_back: Vec<Record>,
     /// The missing records, and the host that has them.
-    missing: Option<Missing>,
+    missing: Option<MissingRecords>,
     /// Whether missing records are being requested from another host.
     is_filling: bool,
     /// Whether records were missing after the last update. If records are still missing after the
@@ -170,7 +170,7 @@
 
     /// Takes the missing records to request. The request counts as in progress until
     /// [`Follower::end_filling`].
-    pub fn take_missing(&mut self) -> Option<Missing> {
+    pub fn take_missing(&mut self) -> Option<MissingRecords> {
         let missing = self.missing.take();
         self.is_filling = missing.is_some();
         missing
@@ -203,7 +203,7 @@
         kind: UpdateKind,
         version: FeedVersion,
         as_of: Instant,
-        missing: Missing,
+        missing: MissingRecords,
     ) {
         // The sender of the update reaches the store.
         self.store_lost_since = None;
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -18,15 +18,15 @@
 const MAX_UPDATE_BYTES: usize = 8 << 10;
 
 impl Control {
-    /// Sends an update from the store to every host of the own group, and to one host of each other
-    /// group, which passes it on.
+    /// Sends an update from the store to every host of this host's group, and to one host of each
+    /// other group, which passes it on.
     pub(super) fn send_to_all_groups(&self, update: &FeedUpdate) {
         let mut receivers = self.group();
         receivers.extend(self.first_hosts(update.feed));
         self.send_update(update, &receivers);
     }
 
-    /// Passes an update from a host of another group on to the own group.
+    /// Passes an update from a host of another group on to this host's group.
     pub(super) fn forward_to_group(&self, from: &HostName, feed: Feed, records: Vec<Record>) {
         let group = self.group();
         if group.iter().any(|host| host.name == *from) {
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Sends the own group an update that this host polled because records were missing. If there
-    /// are several groups, only the first host of a group does so, since other groups rely on it to
-    /// pass updates on.
+    /// Sends this host's group an update that this host polled because records were missing. If
+    /// there are several groups, only the first host of a group does so, since other groups rely on
+    /// it to pass updates on.
     pub(super) fn send_to_own_group(&self, update: &FeedUpdate) {
         let group = self.group();
         let hosts = group.iter().chain([&self.this_host]);
@@ -127,13 +127,13 @@
         let owners: BTreeSet<&HostName> = leases.owners().collect();
         let known_state = self.known_state.borrow();
         let lenders = known_state.host_table.list().rows();
-        let is_near = |host: &HostEntry| host.zone == self.this_host.zone;
+        let is_in_zone = |host: &HostEntry| host.zone == self.this_host.zone;
         let now = clock::now();
         let mut holder_selector = self.holder_selector.borrow_mut();
         holder_selector.forget_idle(now);
         let is_asked = |host: &HostEntry| holder_selector.asks(now, &host.name);
-        let lenders =
-            lenders.filter(|host| owners.contains(&host.name) || is_near(host) || is_asked(host));
+        let lenders = lenders
+            .filter(|host| owners.contains(&host.name) || is_in_zone(host) || is_asked(host));
         let receivers: Vec<&HostEntry> = receivers.iter().chain(lenders).collect();
         let mut clients = self.clients.borrow_mut();
         clients.retain(|name, client| {
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -27,8 +27,8 @@
 
 const PEER_KEY_BYTES: usize = 32;
 
-/// Interval between heartbeats to a host. A host that misses three of them is no longer named to
-/// callers.
+/// Interval between heartbeats to a host. A host that misses three of them is no longer advertised
+/// to callers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the answer to a heartbeat. A round trip between regions takes some 80 ms, and a
 /// new session four of them.
@@ -39,17 +39,17 @@
 /// Interval between comparisons of the store's list with the hosts that are alive.
 const LIST_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Time over which the hosts of a first deployment start spread their first calls. A typical store
-/// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows within 0.3
-/// s, writes took over 0.8 s and 118 of them were repeated.
+/// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows in 0.3 s,
+/// writes took over 0.8 s and 118 of them were repeated.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(1_200);
 /// Longest random pause before a host that is no seed and finds no shared key creates one. Seeds
 /// come first.
 const MAX_KEY_DELAY: Duration = Duration::from_millis(200);
-/// Most hosts of the own region that get heartbeats.
+/// Maximum number of hosts of this host's region that get heartbeats.
 const MAX_TARGETS_OWN_REGION: usize = 8;
-/// Most hosts of each other region that get heartbeats.
+/// Maximum number of hosts of each other region that get heartbeats.
 const MAX_TARGETS_OTHER_REGION: usize = 2;
-/// Time limit for the last heartbeat and the removal of the own row.
+/// Time limit for the last heartbeat and the removal of this host's row.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Control {
@@ -102,7 +102,7 @@
                 return Rc::clone(key);
             }
             self.create_key().await;
-            // The list contains the key that was created first, even if the answer to the own
+            // The list contains the key that was created first, even if the answer to this host's
             // attempt was lost.
             self.poll_store(Feed::Hosts).await;
             if self.key.borrow().is_none() {
@@ -257,7 +257,7 @@
             incarnation: self.incarnation,
             sequence: self.heartbeats_sent.get(),
             leaving,
-            // Each host decides on its own which hosts it names to callers.
+            // Each host decides on its own which hosts it advertises to callers.
             suspected_hosts: BTreeSet::new(),
             confirmed_hosts: BTreeSet::new(),
             lenders: BTreeSet::new(),
@@ -281,8 +281,8 @@
         }
         let mut heartbeat_targets = Vec::new();
         for (region, hosts) in by_region {
-            let is_near = region == self.common.settings.region;
-            let max_targets = if is_near {
+            let is_own_region = region == self.common.settings.region;
+            let max_targets = if is_own_region {
                 MAX_TARGETS_OWN_REGION
             } else {
                 MAX_TARGETS_OTHER_REGION
--- a/crates/gateway/src/control/known_state.rs
+++ b/crates/gateway/src/control/known_state.rs
@@ -15,7 +15,7 @@
 use super::origin::Origin;
 use crate::host::Common;
 
-/// Most unreadable reports that are remembered, so that each is logged once.
+/// Maximum number of unreadable reports that are remembered, so that each is logged once.
 const MAX_REFUSED_REPORTS: usize = 1_000;
 
 /// Largest difference between hosts' accounts of one recovery of the store, since messages between
@@ -294,8 +294,8 @@
         }
     }
 
-    /// The number of hosts that share limits, and the names of those in the own region; none while
-    /// this host has no share of any limit.
+    /// The number of hosts that share limits, and the names of those in this host's region; none
+    /// while this host has no share of any limit.
     fn hosts_sharing_bounds(&self, now: Instant) -> (Option<usize>, Option<Vec<HostName>>) {
         let others = self.host_table.sharing_hosts(now);
         let Some(others) = others.filter(|_| self.host_table.has_share(now)) else {
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::Control;
-use super::follower::{Follower, Missing};
+use super::follower::{Follower, MissingRecords};
 use super::origin::{Origin, Source};
 use super::waits::Wait;
 
@@ -26,7 +26,7 @@
 const LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Control {
-    /// Reads a whole feed from hosts of the own group, if there are any.
+    /// Reads a whole feed from hosts of this host's group, if there are any.
     pub(super) async fn load_from_group(&self, feed: Feed) {
         // After a timeout the feed is read from the store.
         let _ = timeout(LOAD_TIMEOUT, self.load_feed(feed)).await;
@@ -100,7 +100,7 @@
     }
 
     /// Requests the missing records from the host that has them.
-    async fn fill_gap(&self, feed: Feed, missing: &Missing) {
+    async fn fill_gap(&self, feed: Feed, missing: &MissingRecords) {
         let (version, reaches_store) = self.with_follower(feed, |follower| {
             (follower.version, follower.poll_schedule.reaches_store())
         });
@@ -113,8 +113,13 @@
     }
 
     /// Requests the records after a version, or the whole feed. Returns whether the gap is closed.
-    async fn fill_after(&self, feed: Feed, missing: &Missing, after: Option<FeedVersion>) -> bool {
-        let Missing { sender, digest } = missing;
+    async fn fill_after(
+        &self,
+        feed: Feed,
+        missing: &MissingRecords,
+        after: Option<FeedVersion>,
+    ) -> bool {
+        let MissingRecords { sender, digest } = missing;
         let query = StateQuery {
             feed,
             after,
--- a/crates/gateway/src/control/limits.rs
+++ b/crates/gateway/src/control/limits.rs
@@ -118,8 +118,9 @@
         let rows = known_state.host_table.list().rows();
         let regions = &self.common.settings.regions;
         let region = regions.get(&ask.zone);
-        let is_near = |host: &&HostEntry| region.is_some() && regions.get(&host.zone) == region;
-        let mut hosts: Vec<&HostEntry> = rows.clone().filter(is_near).collect();
+        let is_in_region =
+            |host: &&HostEntry| region.is_some() && regions.get(&host.zone) == region;
+        let mut hosts: Vec<&HostEntry> = rows.clone().filter(is_in_region).collect();
         if hosts.is_empty() {
             hosts = rows.collect();
         }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -69,7 +69,7 @@
     update_sender: UpdateSender,
     /// Pools of customers' allowances that this host keeps.
     pool: RefCell<TokenPool>,
-    /// Hosts of the own zone that did not answer a token request, and when they were asked.
+    /// Hosts of this host's zone that did not answer a token request, and when they were asked.
     unresponsive_zone_hosts: RefCell<BTreeMap<HostName, Instant>>,
     /// Shares of upstreams' rate limits that this host holds.
     limit_tokens: RefCell<LimitTokens>,
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -19,12 +19,12 @@
 
 /// Longest wait for an answer. A new session between distant regions takes some 0.3 s.
 const POOL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a host of the own zone, where a round trip takes some 2 ms.
+/// Longest wait for a host of this host's zone, where a round trip takes some 2 ms.
 const ZONE_HOST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which a host of the own zone that did not answer is not asked again.
+/// Time for which a host of this host's zone that did not answer is not asked again.
 const UNRESPONSIVE_FOR: Duration = Duration::from_secs(4);
-/// Candidates among all hosts for keeping a group's pool; one in the own region and one in the own
-/// zone follow them. If one does not answer, the next is asked.
+/// Number of candidates among all hosts for keeping a group's pool; one in this host's region and
+/// one in this host's zone follow them. If one does not answer, the next is asked.
 const GLOBAL_POOL_HOSTS: usize = 2;
 /// Shortest interval between two requests for a group. Demand that arises meanwhile goes into one
 /// request.
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Asks a host of the own zone for tokens that requests wait for, and the pool if that host has
-    /// too few. Runs until the task is aborted.
+    /// Asks a host of this host's zone for tokens that requests wait for, and the pool if that host
+    /// has too few. Runs until the task is aborted.
     async fn serve_waiting(self: Rc<Self>, group: TokenGroup) {
         let allowances = &self.common.allowances;
         loop {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Asks a host of the own zone for tokens. Returns whether it gave all that requests wait for.
+    /// Asks a host of this host's zone for tokens. Returns whether it gave all that requests wait
+    /// for.
     async fn ask_zone_host(&self, group: TokenGroup, waiting: Vec<(CustomerName, u32)>) -> bool {
         let now = clock::now();
         let zone_host = self.zone_host(group, now);
@@ -94,7 +95,7 @@
         is_complete
     }
 
-    /// The host that holds tokens for the whole own zone: the first-ranked one that has not
+    /// The host that holds tokens for this host's whole zone: the first-ranked one that has not
     /// recently failed to answer.
     fn zone_host(&self, group: TokenGroup, now: Instant) -> Option<HostEntry> {
         let known_state = self.known_state.borrow();
@@ -219,8 +220,9 @@
         pool.handle_request(now, from, counts, ask, view.sharing_hosts, &bound)
     }
 
-    /// Hosts that may keep a group's pool, in order: some of all hosts, then the first of the own
-    /// region and of the own zone in case of a network partition, and finally this host for itself.
+    /// Hosts that may keep a group's pool, in order: some of all hosts, then the first of this
+    /// host's region and of this host's zone in case of a network partition, and finally this host
+    /// for itself.
     fn pool_hosts(&self, group: TokenGroup) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
         let settings = &self.common.settings;
--- a/crates/gateway/src/control/work_updates.rs
+++ b/crates/gateway/src/control/work_updates.rs
@@ -16,8 +16,8 @@
 
 /// Time after which a starting host serves requests without what other hosts know.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Hosts asked at once when this host starts, those of the own region first; some of the listed
-/// ones may be gone.
+/// Number of hosts asked at once when this host starts, those of this host's region first; some of
+/// the listed ones may be gone.
 const HOSTS_ASKED_AT_START: usize = 3;
 /// Pause between checks whether other hosts can be asked.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -107,7 +107,7 @@
         true
     }
 
-    /// Applies updates of another host, and passes those from other groups on to the own group.
+    /// Applies updates of another host, and passes those from other groups on to this host's group.
     pub(super) fn receive_work_updates(self: &Rc<Self>, from: &HostName, updates: Vec<WorkUpdate>) {
         self.common.suspects.receive(&updates, from);
         let group = self.group();
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -91,7 +91,7 @@
 pub(crate) enum Stage {
     /// The host accepts requests.
     Serving,
-    /// The host still serves arriving requests, but is not named to callers.
+    /// The host still serves arriving requests, but is not advertised to callers.
     Leaving {
         /// When the host was told to stop.
         since: Instant,
@@ -202,25 +202,25 @@
         tracing::info!(event = "reload", bounds_changed, ?needs_restart);
     }
 
-    /// Stops the host: no longer names it to callers, completes the requests in progress, and ends
-    /// within the grace period.
+    /// Stops the host: no longer advertises it to callers, completes the requests in progress, and
+    /// ends within the grace period.
     pub fn stop(self) {
         let since = clock::now();
         tracing::info!(event = "leaving", host = self.settings.host);
         // Both threads may have ended already, so that nobody receives the stage.
         let _ = self.stage.send(Stage::Leaving { since });
-        let end = since + self.bounds.load().grace_period.saturating_sub(STOP_MARGIN);
-        wait(&self.traffic, end);
+        let deadline = since + self.bounds.load().grace_period.saturating_sub(STOP_MARGIN);
+        wait(&self.traffic, deadline);
         let _ = self.stage.send(Stage::Ended);
-        wait(&self.control, end);
+        wait(&self.control, deadline);
         let took_ms = clock::elapsed(since).as_millis() as u64;
         tracing::info!(event = "stopped", host = self.settings.host, took_ms);
     }
 }
 
-/// Waits for a thread, at most until `end`.
-fn wait(thread: &JoinHandle<()>, end: Instant) {
-    while !thread.is_finished() && clock::now() < end {
+/// Waits for a thread, at most until `deadline`.
+fn wait(thread: &JoinHandle<()>, deadline: Instant) {
+    while !thread.is_finished() && clock::now() < deadline {
         thread::sleep(STOP_POLL_INTERVAL);
     }
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -61,14 +61,14 @@
             // The control thread has ended.
             Err(_) => Err(NoToken(NO_ANSWER_DELAY)),
         };
-        let mut condition = choice.upstream.state();
+        let mut state = choice.upstream.state();
         match result {
             Ok(()) => {
-                condition.statements.limit_token_granted();
+                state.statements.limit_token_granted();
                 metrics::counter!("stagedeck_limited_sends_total", "upstream" => report.id.clone())
                     .increment(1);
             }
-            Err(NoToken(wait)) => condition.statements.limit_exhausted(clock::now(), wait),
+            Err(NoToken(wait)) => state.statements.limit_exhausted(clock::now(), wait),
         }
         result
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -16,7 +16,7 @@
     pub zone: ZoneName,
     /// Region of the host.
     pub region: RegionName,
-    /// Region of every availability zone of the deployment, including the own one.
+    /// Region of every availability zone of the deployment, including this host's one.
     pub regions: BTreeMap<ZoneName, RegionName>,
     /// Address for callers' requests. Port 0 selects a free port, for this and the other addresses
     /// to listen on.
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -17,10 +17,10 @@
     /// When this host learned of the event.
     pub learned_at: Instant,
     pub update: WorkUpdate,
-    /// Whether all hosts are told, not only those of the own group. A first crash, and the finding
-    /// that the request did not cause it, go to the own group only: with hundreds of hosts, each
-    /// upstream that crashes for another reason would cost every host a message for each request in
-    /// flight there.
+    /// Whether all hosts are told, not only those of this host's group. A first crash, and the
+    /// finding that the request did not cause it, go to this host's group only: with hundreds of
+    /// hosts, each upstream that crashes for another reason would cost every host a message for
+    /// each request in flight there.
     pub for_all: bool,
 }
 
--- a/crates/gateway/src/traffic/crash_check.rs
+++ b/crates/gateway/src/traffic/crash_check.rs
@@ -37,7 +37,8 @@
             object = suspects::format_key(self.work.object)
         );
         self.record_crash(self.work, self.sent_at, closed_at);
-        // Callers that have disconnected do not report the outcome of their requests.
+        // Requests whose callers have disconnected are no longer tracked, so their crashes are
+        // recorded here.
         let abandoned = self.upstream.state().abandoned.take(closed_at);
         for (work, sent_at) in abandoned {
             self.record_crash(work, sent_at, closed_at);
--- a/crates/gateway/src/traffic/destination.rs
+++ b/crates/gateway/src/traffic/destination.rs
@@ -76,9 +76,13 @@
     let pool = view.services.get(service)?;
     let own = &traffic.common.settings.region;
     let can_serve = |region: &RegionName| pool.regions.contains_key(region) && is_allowed(region);
-    let place = unit_hash(object);
+    let position = unit_hash(object);
     let now = clock::now();
-    if can_serve(own) && traffic.stats().stays_in_region(service, pool, place, now) {
+    if can_serve(own)
+        && traffic
+            .stats()
+            .stays_in_region(service, pool, position, now)
+    {
         return Some(own.clone());
     }
     let others = pool.regions.iter();
@@ -87,7 +91,7 @@
     other.or_else(|| can_serve(own).then(|| own.clone()))
 }
 
-/// Selects a region other than the own for an object, weighted by the regions' slots.
+/// Selects a region other than this host's for an object, weighted by the regions' slots.
 fn other_region<'a>(
     object: u64,
     regions: impl Iterator<Item = (&'a RegionName, &'a RegionPool)>,
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -18,8 +18,9 @@
 use crate::allowances::AllowanceError;
 
 /// Largest body that is kept in memory so that it can be sent again.
-const HELD_BODY_BYTES: usize = 64 << 10;
-/// Time after which a caller may retry at a host that has no document yet.
+const MAX_HELD_BODY_BYTES: usize = 64 << 10;
+/// Time after which a caller may retry if no better estimate is known, such as at a host that has
+/// no document yet.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers a caller's request.
@@ -169,7 +170,7 @@
 
 async fn read_body(body: Incoming, limits: CallerLimits) -> Result<WorkBody, Refusal> {
     let body = Bounded::new(body, limits.body_bytes, limits.head_timeout).boxed_unsync();
-    let held = hold(body, HELD_BODY_BYTES).await;
+    let held = hold(body, MAX_HELD_BODY_BYTES).await;
     held.map(WorkBody::from).map_err(|error| {
         Refusal::BadRequest(match error.downcast_ref() {
             Some(BoundError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/gateway/src/traffic/head.rs
+++ b/crates/gateway/src/traffic/head.rs
@@ -54,18 +54,18 @@
     let mut values = headers.get_all(AUTHORIZATION).iter();
     match (values.next(), values.next()) {
         (None, _) => Credentials::None,
-        (Some(value), None) => key(value).map_or(Credentials::NoKey, Credentials::Key),
+        (Some(value), None) => parse_key(value).map_or(Credentials::NoKey, Credentials::Key),
         (Some(_), Some(_)) => Credentials::Several,
     }
 }
 
-fn key(value: &HeaderValue) -> Option<KeyHash> {
+fn parse_key(value: &HeaderValue) -> Option<KeyHash> {
     let bytes = value.as_bytes();
     let at = bytes.iter().position(|byte| *byte == b' ')?;
     let (scheme, key) = bytes.split_at(at);
     let key = key.trim_ascii();
-    let is_one = !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(&b' ');
-    (is_one && scheme.eq_ignore_ascii_case(KEY_SCHEME)).then(|| KeyHash::of(key))
+    let is_single = !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(&b' ');
+    (is_single && scheme.eq_ignore_ascii_case(KEY_SCHEME)).then(|| KeyHash::of(key))
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &hyper::header::HeaderName) -> Option<&'a str> {
--- a/crates/gateway/src/traffic/look_up.rs
+++ b/crates/gateway/src/traffic/look_up.rs
@@ -8,7 +8,7 @@
 use crate::settings::{Bounds, GatewaySettings};
 use crate::wire_format::HostLookup;
 
-/// Most hosts in an answer.
+/// Maximum number of hosts in an answer.
 const MAX_HOSTS: usize = 64;
 /// Time for which an answer is valid. Some callers use it three times as long, and they must leave
 /// a stopping host within its grace period.
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -33,8 +33,9 @@
 const MIN_URGENCY: f64 = 0.6;
 /// Decrease of this fraction for each level of priority.
 const URGENCY_STEP: f64 = 0.2;
-/// Most upstreams without a token of their rate limit that a request tries. Without this bound, a
-/// request would try them again and again until its deadline if many upstreams declare limits.
+/// Maximum number of upstreams without a token of their rate limit that a request tries. Without
+/// this bound, a request would try them again and again until its deadline if many upstreams
+/// declare limits.
 const MAX_TOKEN_REFUSALS: u32 = 4;
 
 /// A request in progress.
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -16,7 +16,7 @@
 use super::head::Head;
 use super::statements::{AnswerHead, apply_statement};
 
-/// Most connections to an upstream whose service declares no limit.
+/// Maximum number of connections to an upstream whose service declares no limit.
 const DEFAULT_CONNECTIONS: u32 = 256;
 
 /// A request in flight at an upstream. Its drop records the end of the request.
@@ -32,10 +32,10 @@
 impl InFlight {
     fn begin(choice: &Choice, work: WorkIdentity) -> Self {
         let started_at = clock::now();
-        let mut condition = choice.upstream.state();
-        condition.request_sent(started_at);
-        condition.note_expected_work(choice.expectation.work.if_fetched);
-        drop(condition);
+        let mut state = choice.upstream.state();
+        state.request_sent(started_at);
+        state.note_expected_work(choice.expectation.work.if_fetched);
+        drop(state);
         InFlight {
             upstream: Arc::clone(&choice.upstream),
             started_at,
@@ -48,12 +48,12 @@
     fn record(&self, answered: AnswerOutcome) {
         let now = clock::now();
         let id = &self.upstream.report.id;
-        let mut condition = self.upstream.state();
-        condition.answered(now, answered);
-        if answered.shows_life() && condition.statements.answered(self.started_at) {
+        let mut state = self.upstream.state();
+        state.answered(now, answered);
+        if answered.shows_life() && state.statements.answered(self.started_at) {
             tracing::info!(event = "upstream_rest_over", upstream = id);
         }
-        drop(condition);
+        drop(state);
         self.upstream.zone().answered(now, id, answered);
         self.is_recorded.set(true);
     }
@@ -66,12 +66,12 @@
             self.record(AnswerOutcome::Unknown);
         }
         let now = clock::now();
-        let mut condition = self.upstream.state();
+        let mut state = self.upstream.state();
         if is_abandoned {
-            condition.abandoned.note(now, self.work, self.started_at);
+            state.abandoned.note(now, self.work, self.started_at);
         }
-        condition.statements.unanswered(self.started_at);
-        condition.request_ended(now);
+        state.statements.unanswered(self.started_at);
+        state.request_ended(now);
     }
 }
 
--- a/crates/gateway/src/traffic/server.rs
+++ b/crates/gateway/src/traffic/server.rs
@@ -105,7 +105,7 @@
     let _open = (purpose == Purpose::Callers).then(|| OpenConnection::new(&traffic));
     let limits = traffic.common.view.load().limits;
     let mut stage = traffic.common.stage.clone();
-    let leaving = Arc::clone(&traffic);
+    let closing_traffic = Arc::clone(&traffic);
     let own_ip = traffic.common.settings.caller_address.ip();
     let is_own = peer.ip() == own_ip || peer.ip().is_loopback();
     let service = service_fn(move |request| {
@@ -133,7 +133,7 @@
     let closing = async {
         // Once a leaving host takes no new connections, its idle connections are closed.
         let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-        sleep(leaving.accept_time()).await;
+        sleep(closing_traffic.accept_time()).await;
     };
     tokio::select! {
         ended = connection.as_mut() => return log_end(ended),
--- a/crates/gateway/src/traffic/statements.rs
+++ b/crates/gateway/src/traffic/statements.rs
@@ -8,7 +8,7 @@
 use steering::route::Upstream;
 use steering::statement::{LimitChange, RequestedLimit, RequestedRest, Statement};
 
-/// Most unknown statement names that are remembered.
+/// Maximum number of unknown statement names that are remembered.
 const MAX_UNKNOWN_STATEMENTS: usize = 32;
 
 /// The head of an answer, as far as it concerns the upstream.
--- a/crates/gateway/src/traffic/stats.rs
+++ b/crates/gateway/src/traffic/stats.rs
@@ -60,13 +60,13 @@
         &route.parts[spread.pick(&route.parts)].service
     }
 
-    /// Whether a request stays in this host's region. `place` is the position of its object, by
-    /// which the share of the region applies.
+    /// Whether a request stays in this host's region. `position` is the object's position, which is
+    /// compared with the region's share.
     pub fn stays_in_region(
         &mut self,
         service: &str,
         pool: &ServicePool,
-        place: f64,
+        position: f64,
         now: Instant,
     ) -> bool {
         if !self.region_shares.contains_key(service) {
@@ -79,7 +79,7 @@
             self.region_shares.insert(service.to_owned(), share);
         }
         let share = self.region_shares.get_mut(service);
-        share.is_none_or(|share| share.keeps_local(place))
+        share.is_none_or(|share| share.keeps_local(position))
     }
 
     /// Counts a request to a service for its retry budget.
@@ -132,8 +132,8 @@
         share
     }
 
-    /// Most requests per second to an upstream that is warming up; `bears` is the rate that it can
-    /// serve.
+    /// Maximum rate of requests per second to an upstream that is warming up; `capacity_per_s` is
+    /// the rate that it can serve.
     pub fn cold_send_rate(bounds: &Bounds, capacity_per_s: f64) -> f64 {
         capacity_per_s * bounds.warm_up_overage + bounds.warm_up_slack
     }
