--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -131,7 +131,7 @@
         let now = clock::now();
         let mut holder_selector = self.holder_selector.borrow_mut();
         holder_selector.forget_idle(now);
-        let is_asked = |host: &HostEntry| holder_selector.asks(now, &host.name);
+        let is_asked = |host: &HostEntry| holder_selector.was_asked_recently(now, &host.name);
         let lenders = lenders
             .filter(|host| owners.contains(&host.name) || is_in_zone(host) || is_asked(host));
         let receivers: Vec<&HostEntry> = receivers.iter().chain(lenders).collect();
--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -58,13 +58,13 @@
         let condition = self.upstream.state();
         let obstacle = condition.obstacle(now);
         let barring = obstacle.filter(|obstacle| obstacle.blocks_chosen_request());
-        let lacks_token = !self.has_token && condition.statements.limit_heard(now).is_some();
+        let lacks_token = !self.has_token && condition.statements.known_limit(now).is_some();
         barring.or(lacks_token.then_some(Obstacle::LimitExhausted(Duration::ZERO)))
     }
 
     /// Returns the rate limit of which the request needs a token before it is sent.
     pub fn limit(&self, now: Instant) -> Option<KnownLimit> {
-        self.upstream.state().statements.limit_heard(now)
+        self.upstream.state().statements.known_limit(now)
     }
 
     /// Counts a request that is about to be sent. `object` is the hash of its object, if it
--- a/crates/steering/src/route/view.rs
+++ b/crates/steering/src/route/view.rs
@@ -97,7 +97,7 @@
     /// limit no longer moves objects: an upstream that receives nothing can't declare
     /// another limit, so its objects return and bring its current limit with the answers.
     fn recent_limit_per_s(&self, now: Instant) -> Option<f64> {
-        let limit = self.state().statements.limit_heard(now)?;
+        let limit = self.state().statements.known_limit(now)?;
         (limit.age < LIMIT_REASSIGNS_FOR).then_some(limit.per_s)
     }
 
@@ -208,7 +208,7 @@
         let pools = self.regions.values();
         for upstream in pools.flat_map(|region| &region.upstreams) {
             let condition = upstream.state();
-            counts.limiting += usize::from(condition.statements.limit_heard(now).is_some());
+            counts.limiting += usize::from(condition.statements.known_limit(now).is_some());
             match condition.obstacle(now) {
                 Some(Obstacle::Rests(_) | Obstacle::TrialPending) => counts.resting += 1,
                 Some(Obstacle::Leaves) => counts.leaving += 1,
--- a/crates/steering/tests/route_choice_limited.rs
+++ b/crates/steering/tests/route_choice_limited.rs
@@ -197,7 +197,7 @@
     assert_eq!(pool(&service).capacity(later, usual), 6.0);
     let choice = member(&service, "i-0");
     assert!(
-        choice.state().statements.limit_heard(later).is_some(),
+        choice.state().statements.known_limit(later).is_some(),
         "it still binds"
     );
 }
@@ -224,7 +224,7 @@
         stated.limit(heard + 30 * MS, now + sent_ms * MS, None),
         change
     );
-    assert_eq!(stated.limit_heard(heard).is_some(), change.is_none());
+    assert_eq!(stated.known_limit(heard).is_some(), change.is_none());
 }
 
 #[test]
@@ -236,7 +236,7 @@
     let change = condition.statements.limit(now + MS, now, Some(2.0));
     assert_eq!(change, Some(LimitChange::Named));
     assert_eq!(
-        condition.statements.limit_heard(now + MS).unwrap().per_s,
+        condition.statements.known_limit(now + MS).unwrap().per_s,
         2.0
     );
     assert!(
