--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -18,15 +18,15 @@
 const MAX_UPDATE_BYTES: usize = 8 << 10;
 
 impl Control {
-    /// Sends an update from the store to every host of the own group, and to one host of each other
-    /// group, which passes it on.
+    /// Sends an update from the store to every host of this host's group, and to one host of each
+    /// other group, which passes it on.
     pub(super) fn send_to_all_groups(&self, update: &FeedUpdate) {
         let mut receivers = self.group();
         receivers.extend(self.first_hosts(update.feed));
         self.send_update(update, &receivers);
     }
 
-    /// Passes an update from a host of another group on to the own group.
+    /// Passes an update from a host of another group on to this host's group.
     pub(super) fn forward_to_group(&self, from: &HostName, feed: Feed, records: Vec<Record>) {
         let group = self.group();
         if group.iter().any(|host| host.name == *from) {
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Sends the own group an update that this host polled because records were missing. If there
-    /// are several groups, only the first host of a group does so, since other groups rely on it to
-    /// pass updates on.
+    /// Sends this host's group an update that this host polled because records were missing. If
+    /// there are several groups, only the first host of a group does so, since other groups rely on
+    /// it to pass updates on.
     pub(super) fn send_to_own_group(&self, update: &FeedUpdate) {
         let group = self.group();
-        let hosts = group.iter().chain([&self.me]);
-        let is_first = first_ranked(&update.feed.to_string(), hosts) == Some(&self.me);
+        let hosts = group.iter().chain([&self.this_host]);
+        let is_first = first_ranked(&update.feed.to_string(), hosts) == Some(&self.this_host);
         if is_first && !self.is_one_group() {
             self.send_update(update, &group);
         }
@@ -64,18 +64,20 @@
     /// The other hosts of this host's group.
     pub(super) fn group(&self) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
-        let groups = self.groups(&known_state.roll);
-        let own = groups.into_iter().find(|group| group.contains(&&self.me));
+        let groups = self.groups(&known_state.host_table);
+        let own = groups
+            .into_iter()
+            .find(|group| group.contains(&&self.this_host));
         let others = own.into_iter().flatten();
-        let others = others.filter(|host| host.name != self.me.name);
+        let others = others.filter(|host| host.name != self.this_host.name);
         others.cloned().collect()
     }
 
     /// The host of each other group that ranks first for a feed.
     pub(super) fn first_hosts(&self, feed: Feed) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
-        let groups = self.groups(&known_state.roll).into_iter();
-        let others = groups.filter(|group| !group.contains(&&self.me));
+        let groups = self.groups(&known_state.host_table).into_iter();
+        let others = groups.filter(|group| !group.contains(&&self.this_host));
         let key = feed.to_string();
         let first_hosts = others.filter_map(|group| first_ranked(&key, group.into_iter()));
         first_hosts.cloned().collect()
@@ -83,12 +85,15 @@
 
     /// Whether the deployment is a single group.
     pub(super) fn is_one_group(&self) -> bool {
-        self.groups(&self.known_state.borrow().roll).len() == 1
+        self.groups(&self.known_state.borrow().host_table).len() == 1
     }
 
-    fn groups<'a>(&'a self, roll: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
-        let others = roll.known().map(|host| &host.entry);
-        host_groups(others.chain([&self.me]), &self.common.settings.regions)
+    fn groups<'a>(&'a self, host_table: &'a HostTable) -> Vec<Vec<&'a HostEntry>> {
+        let others = host_table.known().map(|host| &host.entry);
+        host_groups(
+            others.chain([&self.this_host]),
+            &self.common.settings.regions,
+        )
     }
 
     /// A client of a host; none while a message to the host is in flight.
@@ -121,14 +126,14 @@
         let leases = self.common.allowances.leases();
         let owners: BTreeSet<&HostName> = leases.owners().collect();
         let known_state = self.known_state.borrow();
-        let lenders = known_state.roll.list().rows();
-        let is_near = |host: &HostEntry| host.zone == self.me.zone;
+        let lenders = known_state.host_table.list().rows();
+        let is_in_zone = |host: &HostEntry| host.zone == self.this_host.zone;
         let now = clock::now();
-        let mut limit_asks = self.limit_asks.borrow_mut();
-        limit_asks.forget_idle(now);
-        let is_asked = |host: &HostEntry| limit_asks.was_asked_recently(now, &host.name);
-        let lenders =
-            lenders.filter(|host| owners.contains(&host.name) || is_near(host) || is_asked(host));
+        let mut holder_selector = self.holder_selector.borrow_mut();
+        holder_selector.forget_idle(now);
+        let is_asked = |host: &HostEntry| holder_selector.was_asked_recently(now, &host.name);
+        let lenders = lenders
+            .filter(|host| owners.contains(&host.name) || is_in_zone(host) || is_asked(host));
         let receivers: Vec<&HostEntry> = receivers.iter().chain(lenders).collect();
         let mut clients = self.clients.borrow_mut();
         clients.retain(|name, client| {
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -27,8 +27,8 @@
 
 const PEER_KEY_BYTES: usize = 32;
 
-/// Interval between heartbeats to a host. A host that misses three of them is no longer named to
-/// callers.
+/// Interval between heartbeats to a host. A host that misses three of them is no longer advertised
+/// to callers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the answer to a heartbeat. A round trip between regions takes some 80 ms, and a
 /// new session four of them.
@@ -39,17 +39,17 @@
 /// Interval between comparisons of the store's list with the hosts that are alive.
 const LIST_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Time over which the hosts of a first deployment start spread their first calls. A typical store
-/// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows within 0.3
-/// s, writes took over 0.8 s and 118 of them were repeated.
+/// takes 300 writes a second to a partition of a table: when 295 hosts wrote their rows in 0.3 s,
+/// writes took over 0.8 s and 118 of them were repeated.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(1_200);
 /// Longest random pause before a host that is no seed and finds no shared key creates one. Seeds
 /// come first.
 const MAX_KEY_DELAY: Duration = Duration::from_millis(200);
-/// Most hosts of the own region that get heartbeats.
+/// Maximum number of hosts of this host's region that get heartbeats.
 const MAX_TARGETS_OWN_REGION: usize = 8;
-/// Most hosts of each other region that get heartbeats.
+/// Maximum number of hosts of each other region that get heartbeats.
 const MAX_TARGETS_OTHER_REGION: usize = 2;
-/// Time limit for the last heartbeat and the removal of the own row.
+/// Time limit for the last heartbeat and the removal of this host's row.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Control {
@@ -58,7 +58,7 @@
     pub(super) async fn run_membership(self: Rc<Self>, peers: TcpListener) {
         let key = self.peer_key().await;
         let local = Local {
-            host: self.me.clone(),
+            host: self.this_host.clone(),
             incarnation: self.incarnation,
             key,
             names: Rc::default(),
@@ -82,7 +82,7 @@
         let beat = self.heartbeat(true);
         let clients: Vec<Rc<PeerClient>> = self.clients.borrow().values().cloned().collect();
         let heartbeats = join_all(clients.iter().map(|client| client.heartbeat(&beat)));
-        let removed = self.records.remove(HOSTS_TABLE, &self.me.name);
+        let removed = self.records.remove(HOSTS_TABLE, &self.this_host.name);
         let (_, removed) = futures::join!(heartbeats, timeout(LEAVE_TIMEOUT, removed));
         if !matches!(removed, Ok(Ok(()))) {
             tracing::warn!(event = "own_row_not_removed");
@@ -102,7 +102,7 @@
                 return Rc::clone(key);
             }
             self.create_key().await;
-            // The list contains the key that was created first, even if the answer to the own
+            // The list contains the key that was created first, even if the answer to this host's
             // attempt was lost.
             self.poll_store(Feed::Hosts).await;
             if self.key.borrow().is_none() {
@@ -158,7 +158,12 @@
     /// removed it, and removes rows of lost hosts.
     async fn maintain_host_list(self: Rc<Self>) {
         loop {
-            let is_listed = self.known_state.borrow().roll.list().lists(&self.me);
+            let is_listed = self
+                .known_state
+                .borrow()
+                .host_table
+                .list()
+                .lists(&self.this_host);
             if !is_listed {
                 self.write_own_row().await;
             }
@@ -169,11 +174,11 @@
 
     /// Writes this host's row, with retries until the store has accepted it.
     async fn write_own_row(&self) {
-        let value = serde_json::to_vec(&self.me).expect("entries are valid JSON");
+        let value = serde_json::to_vec(&self.this_host).expect("entries are valid JSON");
         let mut backoff = backoff(MAX_ROW_BACKOFF);
         while *self.common.stage.borrow() == Stage::Serving {
             let row = OwnRow {
-                key: self.me.name.clone(),
+                key: self.this_host.name.clone(),
                 value: value.clone(),
             };
             match self.records.put(HOSTS_TABLE, row).await {
@@ -189,7 +194,7 @@
         let now = clock::now();
         let lost: Vec<HostName> = {
             let known_state = self.known_state.borrow();
-            let lost = known_state.roll.lost(now, &heartbeat_targets);
+            let lost = known_state.host_table.lost(now, &heartbeat_targets);
             lost.into_iter().cloned().collect()
         };
         for name in lost {
@@ -208,7 +213,7 @@
             let gap = now.saturating_duration_since(last);
             if gap > PAUSE_THRESHOLD {
                 tracing::warn!(event = "paused", ms = gap.as_millis() as u64);
-                self.known_state.borrow_mut().roll.resume(now);
+                self.known_state.borrow_mut().host_table.resume(now);
             }
             last = now;
             let heartbeat_targets = self.heartbeat_targets();
@@ -236,7 +241,10 @@
         match client.heartbeat(&beat).await {
             Ok(_) => {
                 let now = clock::now();
-                self.known_state.borrow_mut().roll.answered(now, &name);
+                self.known_state
+                    .borrow_mut()
+                    .host_table
+                    .answered(now, &name);
             }
             Err(error) => tracing::debug!(event = "heartbeat_failed", host = name, %error),
         }
@@ -245,11 +253,11 @@
     fn heartbeat(&self, leaving: bool) -> Beat {
         self.heartbeats_sent.set(self.heartbeats_sent.get() + 1);
         let heartbeat = Heartbeat {
-            host: self.me.clone(),
+            host: self.this_host.clone(),
             incarnation: self.incarnation,
             sequence: self.heartbeats_sent.get(),
             leaving,
-            // Each host decides on its own which hosts it names to callers.
+            // Each host decides on its own which hosts it advertises to callers.
             suspected_hosts: BTreeSet::new(),
             confirmed_hosts: BTreeSet::new(),
             lenders: BTreeSet::new(),
@@ -266,21 +274,21 @@
     pub(super) fn heartbeat_targets(&self) -> Vec<HostEntry> {
         let known_state = self.known_state.borrow();
         let mut by_region: BTreeMap<&str, Vec<&HostEntry>> = BTreeMap::new();
-        for host in known_state.roll.known() {
+        for host in known_state.host_table.known() {
             let region = self.common.settings.regions.get(&host.entry.zone);
             let region = region.map_or("", String::as_str);
             by_region.entry(region).or_default().push(&host.entry);
         }
         let mut heartbeat_targets = Vec::new();
         for (region, hosts) in by_region {
-            let is_near = region == self.common.settings.region;
-            let max_targets = if is_near {
+            let is_own_region = region == self.common.settings.region;
+            let max_targets = if is_own_region {
                 MAX_TARGETS_OWN_REGION
             } else {
                 MAX_TARGETS_OTHER_REGION
             };
             let names = hosts.iter().map(|host| host.name.as_str());
-            let ranked = rendezvous::rank(&self.me.name, names);
+            let ranked = rendezvous::rank(&self.this_host.name, names);
             let chosen = ranked.into_iter().take(max_targets);
             heartbeat_targets.extend(
                 chosen
@@ -306,7 +314,7 @@
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
         let changed = known_state
-            .roll
+            .host_table
             .record_heartbeat(now, host, *incarnation, *leaving);
         let version = known_state.version();
         drop(known_state);
@@ -328,7 +336,7 @@
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
-            .roll
+            .host_table
             .record_heartbeat(now, from, incarnation, false);
         drop(known_state);
         self.0.receive_update(from, update);
@@ -337,7 +345,7 @@
     fn asked(&self, from: &HostEntry, incarnation: Incarnation, ask: HostMessage) -> HostReply {
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
-            .roll
+            .host_table
             .record_heartbeat(clock::now(), from, incarnation, false);
         drop(known_state);
         match ask {
