--- a/crates/caller/src/admission.rs
+++ b/crates/caller/src/admission.rs
@@ -277,7 +277,7 @@
 
 impl QueuedRequest<'_> {
     async fn admitted(&mut self, deadline: Instant) -> Result<Permit, ErrorKind> {
-        let answer = timeout(clock::left(deadline), &mut self.answer).await;
+        let answer = timeout(clock::remaining(deadline), &mut self.answer).await;
         match answer {
             Ok(Ok(answer)) => {
                 self.wait = None;
--- a/crates/caller/src/at_most_once.rs
+++ b/crates/caller/src/at_most_once.rs
@@ -18,14 +18,14 @@
 use steering::error::{ErrorKind, NotRun};
 use steering::ids::ClaimId;
 use steering::ticket::{self, Ticket, TicketError};
-use upstream::{Body, WorkBody, full};
+use upstream::{Body, RequestBody, full};
 
 use crate::answers::{Failure, REPLAYED_HEADER};
 use crate::dispatch::{self, relay_to_issuer};
 use crate::local::AttemptError;
 use crate::request::{KEY_HEADER, OperationIdentity, RequestHead, value};
 use crate::shared::SharedState;
-use upstream::{Held, hold};
+use upstream::{BufferedBody, buffer_body};
 
 /// Time that this host remembers an idempotency key. The claim row in the store lives longer.
 const KEY_TTL: Duration = Duration::from_secs(60);
@@ -66,7 +66,7 @@
 pub async fn run(
     shared: &Arc<SharedState>,
     mut head: RequestHead,
-    mut body: WorkBody,
+    mut body: RequestBody,
     ticket_text: Option<&str>,
 ) -> Result<Response<Body>, Failure> {
     if let Some(identity) = head.identity.take() {
@@ -112,7 +112,7 @@
 async fn relay_to_ticket_host(
     shared: &SharedState,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     ticket: &Ticket,
     ticket_text: &str,
 ) -> Result<Response<Body>, Option<Failure>> {
@@ -190,7 +190,7 @@
 async fn answer_without_issuer(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    body: WorkBody,
+    body: RequestBody,
     ticket: &Ticket,
     fingerprint: Fingerprint,
 ) -> Result<Response<Body>, Failure> {
@@ -212,7 +212,7 @@
 async fn run_with_key(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    body: WorkBody,
+    body: RequestBody,
     fingerprint: Fingerprint,
 ) -> Result<Response<Body>, Failure> {
     let key = head
@@ -242,7 +242,7 @@
 async fn run_with_identity(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    body: WorkBody,
+    body: RequestBody,
     OperationIdentity {
         operation,
         identity,
@@ -274,7 +274,7 @@
 async fn run_at_most_once(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    body: WorkBody,
+    body: RequestBody,
     execution: Execution,
 ) -> Result<Response<Body>, Failure> {
     let spend = shared.spent().begin(
@@ -298,7 +298,7 @@
 async fn claim_and_run(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    mut body: WorkBody,
+    mut body: RequestBody,
     execution: Execution,
 ) -> Result<Response<Body>, Failure> {
     let begun = clock::now();
@@ -411,13 +411,13 @@
             .map(str::to_owned),
         body: None,
     };
-    match hold(body, shared.config.limits.kept_answer_bytes).await {
-        Ok(Held::Whole(bytes)) => {
+    match buffer_body(body, shared.config.limits.kept_answer_bytes).await {
+        Ok(BufferedBody::Whole(bytes)) => {
             receipt.body = Some(bytes.clone());
             finish(shared, execution, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, full(bytes)))
         }
-        Ok(Held::Streaming(body)) => {
+        Ok(BufferedBody::Streaming(body)) => {
             finish(shared, execution, Some(WorkOutcome::Ran(receipt)));
             Ok(Response::from_parts(parts, body))
         }
@@ -466,9 +466,9 @@
 ///
 /// The body must be buffered whole: only then can a repetition be distinguished from another
 /// request under the same identity.
-fn fingerprint_of(head: &RequestHead, body: &WorkBody) -> Result<Fingerprint, Failure> {
+fn fingerprint_of(head: &RequestHead, body: &RequestBody) -> Result<Fingerprint, Failure> {
     match body {
-        WorkBody::Whole(bytes) => Ok(fingerprint(head.method.as_str(), &head.path, bytes)),
-        WorkBody::Streaming(_) => Err(ErrorKind::TooLarge.into()),
+        RequestBody::Whole(bytes) => Ok(fingerprint(head.method.as_str(), &head.path, bytes)),
+        RequestBody::Streaming(_) => Err(ErrorKind::TooLarge.into()),
     }
 }
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -16,7 +16,7 @@
 use steering::retry::FailedAttempt;
 use steering::view::Target;
 use tokio::time::sleep;
-use upstream::{Body, Reuse, SendError, WorkBody};
+use upstream::{Body, RequestBody, Reuse, SendError};
 
 use crate::answers::{ERROR_HEADER, Failure, NOT_RUN_HEADER};
 use crate::local::{self, Admission, AttemptError, caller_response};
@@ -80,7 +80,7 @@
 pub async fn run(
     shared: &Arc<SharedState>,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
 ) -> Result<Response<Body>, Failure> {
     shared.with_budget(&head.service, |budget| budget.record_first_attempt());
     let candidates = candidates(shared, head);
@@ -192,7 +192,7 @@
 async fn attempt_hedged(
     shared: &Arc<SharedState>,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     candidate: &Candidate,
 ) -> Result<Response<Body>, AttemptError> {
     let copy = if head.repeatable { body.copy() } else { None };
@@ -232,7 +232,7 @@
 async fn attempt(
     shared: &Arc<SharedState>,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     candidate: &Candidate,
     state: &AttemptState,
 ) -> Result<Response<Body>, AttemptError> {
@@ -277,14 +277,14 @@
 /// Counts the request as in flight until the body of its response has ended.
 fn count_until_end(answer: Response<Body>, count: OwnInFlight) -> Response<Body> {
     use http_body_util::BodyExt;
-    answer.map(|body| upstream::Holding::new(body, count).boxed_unsync())
+    answer.map(|body| upstream::GuardedBody::new(body, count).boxed_unsync())
 }
 
 /// Relays a request to another host.
 async fn relay(
     shared: &SharedState,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     to: &HostEntry,
     purpose: Purpose,
     candidate: Option<&Candidate>,
@@ -346,7 +346,7 @@
             tracing::info!(event = "relay_lost", id = head.id, host = to.name, reason);
             Err(AttemptError::Silent)
         }
-        Err(SendError::Late) => Err(AttemptError::MayHaveRun(ErrorKind::DeadlineAfterDispatch)),
+        Err(SendError::Timeout) => Err(AttemptError::MayHaveRun(ErrorKind::DeadlineAfterDispatch)),
     }
 }
 
@@ -354,7 +354,7 @@
 pub async fn relay_to_issuer(
     shared: &SharedState,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     to: &HostEntry,
 ) -> Result<Response<Body>, AttemptError> {
     relay(shared, head, body, to, Purpose::Ticketed, None).await
@@ -364,7 +364,7 @@
 pub async fn relay_to_owner(
     shared: &SharedState,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     to: &HostEntry,
     purpose: Purpose,
 ) -> Result<Response<Body>, AttemptError> {
--- a/crates/caller/src/handlers.rs
+++ b/crates/caller/src/handlers.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response};
 use rand::Rng;
 use steering::error::ErrorKind;
-use upstream::{Body, REQUEST_ID_HEADER, WorkBody};
+use upstream::{Body, REQUEST_ID_HEADER, RequestBody};
 
 use crate::answers::{Failure, failure};
 use crate::at_most_once;
@@ -25,7 +25,7 @@
 };
 use crate::request::{KEY_HEADER, RequestHead, TICKET_HEADER, parse, text, value};
 use crate::shared::SharedState;
-use upstream::{BoundError, Bounded, Holding, hold};
+use upstream::{BodyLimitError, BoundedBody, GuardedBody, buffer_body};
 
 /// Counts a request as in flight on this host until the body of its response has ended.
 struct InFlightGuard(Arc<SharedState>);
@@ -94,7 +94,7 @@
     let body = read_body(shared, &head, request.into_body()).await;
     let body = body.map_err(early)?;
     let answer = run(shared, head, body, ticket.as_deref()).await?;
-    Ok(answer.map(|body| Holding::new(body, in_flight).boxed_unsync()))
+    Ok(answer.map(|body| GuardedBody::new(body, in_flight).boxed_unsync()))
 }
 
 fn has_ticket_or_key(headers: &HeaderMap) -> bool {
@@ -112,7 +112,7 @@
 async fn run(
     shared: &Arc<SharedState>,
     head: RequestHead,
-    mut body: WorkBody,
+    mut body: RequestBody,
     ticket: Option<&str>,
 ) -> Result<Response<Body>, Failure> {
     if head.repeatable {
@@ -167,14 +167,14 @@
         }
         purpose => admit(shared, &head, &mut body, purpose, relay.revision).await,
     }?;
-    Ok(answer.map(|body| Holding::new(body, in_flight).boxed_unsync()))
+    Ok(answer.map(|body| GuardedBody::new(body, in_flight).boxed_unsync()))
 }
 
 /// Admits a relayed request on this host, or relays it again to the owner of the pool.
 async fn admit(
     shared: &Arc<SharedState>,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     purpose: Purpose,
     revision: u64,
 ) -> Result<Response<Body>, AttemptError> {
@@ -245,18 +245,18 @@
     shared: &SharedState,
     head: &RequestHead,
     body: Incoming,
-) -> Result<WorkBody, ErrorKind> {
+) -> Result<RequestBody, ErrorKind> {
     let limits = &shared.config.limits;
     let view = shared.view.load();
     let service = view.plan.services.get(&head.service);
     let body_limit_bytes = service.map_or(0, |service| service.service.body_limit_bytes);
     let stall_timeout = Duration::from_millis(limits.stall_timeout_ms);
-    let body = Bounded::new(body, body_limit_bytes, stall_timeout).boxed_unsync();
-    match hold(body, limits.hold_body_bytes).await {
+    let body = BoundedBody::new(body, body_limit_bytes, stall_timeout).boxed_unsync();
+    match buffer_body(body, limits.hold_body_bytes).await {
         Ok(held) => Ok(held.into()),
         Err(error) => Err(match error.downcast_ref() {
-            Some(BoundError::TooLarge) => ErrorKind::TooLarge,
-            Some(BoundError::Stalled) => ErrorKind::SlowCaller,
+            Some(BodyLimitError::TooLarge) => ErrorKind::TooLarge,
+            Some(BodyLimitError::Stalled) => ErrorKind::SlowCaller,
             None => ErrorKind::Malformed,
         }),
     }
--- a/crates/caller/src/local.rs
+++ b/crates/caller/src/local.rs
@@ -11,14 +11,14 @@
 use steering::pool::{Outcome, PoolLimits, PoolRequest};
 use steering::statement::RequestedRest;
 use upstream::{
-    Body, DEADLINE_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, Reuse, SendError, TrackedBody,
-    WorkBody, end_to_end, rest_asked,
+    Body, DEADLINE_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, RequestBody, Reuse, SendError,
+    TrackedBody, end_to_end, requested_rest,
 };
 
 use crate::admission::Permit;
 use crate::request::{RequestHead, value};
 use crate::shared::SharedState;
-use upstream::Holding;
+use upstream::GuardedBody;
 
 /// Time without a tick of the control thread after which the view counts as outdated and the
 /// host refuses requests.
@@ -88,7 +88,7 @@
 pub async fn run(
     shared: &Arc<SharedState>,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     admission: &Admission<'_>,
 ) -> Result<Response<Body>, AttemptError> {
     if shared.control_tick_age() > MAX_CONTROL_TICK_AGE {
@@ -153,7 +153,7 @@
 async fn dispatch(
     shared: &SharedState,
     head: &RequestHead,
-    body: &mut WorkBody,
+    body: &mut RequestBody,
     mut permit: Permit,
 ) -> Result<(Response<TrackedBody>, Permit), AttemptError> {
     let upstream = Arc::clone(permit.upstream());
@@ -185,7 +185,7 @@
     );
     match answer {
         Ok(answer) if answer.headers().contains_key(NOT_RUN_HEADER) => {
-            let rest = rest_asked(answer.status(), answer.headers());
+            let rest = requested_rest(answer.status(), answer.headers());
             if let Some(rest) = rest {
                 let rest_ms = rest.granted().as_millis() as u64;
                 tracing::info!(event = "upstream_rests", upstream = upstream.name, rest_ms);
@@ -217,7 +217,7 @@
             permit.outcome(Outcome::Failed);
             Err(AttemptError::MayHaveRun(ErrorKind::OutcomeUnknown))
         }
-        Err(SendError::Late) => {
+        Err(SendError::Timeout) => {
             permit.outcome(Outcome::Answered(clock::elapsed(sent)));
             Err(AttemptError::MayHaveRun(ErrorKind::DeadlineAfterDispatch))
         }
@@ -254,5 +254,5 @@
     parts.headers = end_to_end(&parts.headers);
     parts.version = hyper::Version::HTTP_11;
     parts.extensions.clear();
-    Response::from_parts(parts, Holding::new(body, held).boxed_unsync())
+    Response::from_parts(parts, GuardedBody::new(body, held).boxed_unsync())
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -3,7 +3,7 @@
 //! `std::time::Instant` and the runtime's timers stand still meanwhile, so that whatever a host
 //! believes, leases or was told to wait for would be too young by the time of the suspension.
 //! Moments of this clock are `Instant`s of their own time line: compare them with [`now`], and
-//! wait for them by [`left`], never by a timer's deadline.
+//! wait for them by [`remaining`], never by a timer's deadline.
 //!
 //! ```
 //! let begun = clock::now();
@@ -11,13 +11,13 @@
 //! ```
 
 mod source;
-mod suspensions;
+mod suspension_detector;
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
 pub use source::TimeSource;
-pub use suspensions::Suspensions;
+pub use suspension_detector::SuspensionDetector;
 
 /// The process's clock.
 struct Clock {
@@ -51,7 +51,7 @@
 }
 
 /// Time until a moment of this clock; zero once it has come.
-pub fn left(until: Instant) -> Duration {
+pub fn remaining(until: Instant) -> Duration {
     until.saturating_duration_since(now())
 }
 
--- a/crates/clock/src/suspensions.rs
+++ b/crates/clock/src/suspension_detector.rs
@@ -8,22 +8,22 @@
 
 /// Compares this clock with the steady one, which stands still while the machine is suspended.
 #[derive(Debug)]
-pub struct Suspensions {
+pub struct SuspensionDetector {
     steady: Instant,
     now: Instant,
 }
 
-impl Suspensions {
+impl SuspensionDetector {
     /// Begins at a moment of both clocks.
     pub fn new(steady: Instant, now: Instant) -> Self {
-        Suspensions { steady, now }
+        SuspensionDetector { steady, now }
     }
 
     /// Time for which the machine was suspended since the last look; none where it was not.
-    pub fn look(&mut self, steady: Instant, now: Instant) -> Option<Duration> {
+    pub fn check(&mut self, steady: Instant, now: Instant) -> Option<Duration> {
         let passed = now.saturating_duration_since(self.now);
         let counted = steady.saturating_duration_since(self.steady);
-        *self = Suspensions { steady, now };
+        *self = SuspensionDetector { steady, now };
         let suspended = passed.saturating_sub(counted);
         (suspended > AGREE).then_some(suspended)
     }
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use clock::Suspensions;
+use clock::SuspensionDetector;
 use rstest::rstest;
 
 #[test]
@@ -16,10 +16,10 @@
     assert!(!clock::install(Box::new(source)), "it is in use");
     let begun = clock::now();
     let later = begun + Duration::from_secs(60);
-    assert!(clock::left(later) > Duration::from_secs(5));
+    assert!(clock::remaining(later) > Duration::from_secs(5));
     suspended_ms.store(56_000, Ordering::Relaxed);
     assert!(clock::elapsed(begun) >= Duration::from_secs(56));
-    assert!(clock::left(later) <= Duration::from_secs(4));
+    assert!(clock::remaining(later) <= Duration::from_secs(4));
 }
 
 #[rstest]
@@ -33,10 +33,10 @@
     #[case] suspended_ms: Option<u64>,
 ) {
     let begun = Instant::now();
-    let mut suspensions = Suspensions::new(begun, begun);
+    let mut suspensions = SuspensionDetector::new(begun, begun);
     let after = |ms| begun + Duration::from_millis(ms);
-    let suspended = suspensions.look(after(steady_ms), after(passed_ms));
+    let suspended = suspensions.check(after(steady_ms), after(passed_ms));
     assert_eq!(suspended, suspended_ms.map(Duration::from_millis));
-    let next = suspensions.look(after(steady_ms + 10), after(passed_ms + 10));
+    let next = suspensions.check(after(steady_ms + 10), after(passed_ms + 10));
     assert_eq!(next, None, "it is told once");
 }
--- a/crates/gateway/src/allowances.rs
+++ b/crates/gateway/src/allowances.rs
@@ -137,7 +137,7 @@
                 TakeResult::Exhausted(time) => return Err(AllowanceError::Exhausted(time)),
                 TakeResult::Wait => notifications.requests_waiting.notify_one(),
             }
-            if timeout(clock::left(end), answered).await.is_err() {
+            if timeout(clock::remaining(end), answered).await.is_err() {
                 return Err(AllowanceError::NoAnswer(NO_ANSWER_RETRY_AFTER));
             }
         }
--- a/crates/gateway/src/control/feeds.rs
+++ b/crates/gateway/src/control/feeds.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use peer::{FeedState, StateQuery, ask_state};
+use peer::{FeedState, StateQuery, fetch_feed_state};
 use steering::membership::HostEntry;
 use steering::route::{
     Changes, Feed, FeedUpdate, FeedVersion, PollSchedule, Record, UpdateKind, max_retry_pause,
@@ -202,10 +202,10 @@
         let query = StateQuery {
             feed,
             after: None,
-            most_age: None,
+            max_age: None,
         };
         for seed in seeds.filter(|seed| **seed != settings.peer_address) {
-            match ask_state(*seed, query, SEED_TIMEOUT).await {
+            match fetch_feed_state(*seed, query, SEED_TIMEOUT).await {
                 Ok(Some(FeedState { changes, as_of }))
                     if self.with_follower(feed, |follower| follower.newest) <= changes.version =>
                 {
@@ -231,12 +231,12 @@
         let StateQuery {
             feed,
             after,
-            most_age,
+            max_age,
         } = query;
         let now = clock::now();
         let is_too_old = |follower: &mut Follower| {
             let age = follower.lead.age(now).unwrap_or(Duration::MAX);
-            most_age.is_some_and(|max_age| age > max_age)
+            max_age.is_some_and(|max_age| age > max_age)
         };
         let version = self.with_follower(feed, |follower| follower.version)?;
         if self.with_follower(feed, is_too_old) {
--- a/crates/gateway/src/control/group.rs
+++ b/crates/gateway/src/control/group.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use peer::{EncodedNews, PeerClient};
+use peer::{EncodedUpdate, PeerClient};
 use steering::ids::HostName;
 use steering::membership::HostEntry;
 use steering::rendezvous;
@@ -51,7 +51,7 @@
 
     fn send_update(&self, update: &FeedUpdate, receivers: &[HostEntry]) {
         let feed = update.feed;
-        let update = Rc::new(EncodedNews::new(update, MAX_UPDATE_BYTES, clock::now()));
+        let update = Rc::new(EncodedUpdate::new(update, MAX_UPDATE_BYTES, clock::now()));
         for host in receivers {
             if let Some(client) = self.client(host) {
                 let receiver = (host.name.clone(), feed);
--- a/crates/gateway/src/control/hosts.rs
+++ b/crates/gateway/src/control/hosts.rs
@@ -7,8 +7,8 @@
 
 use futures::future::join_all;
 use peer::{
-    Beat, Exchange, ExchangeReply, FeedState, Local, PeerClient, PeerHandler, PeerServer,
-    StateQuery,
+    Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, PeerClient, PeerHandler,
+    PeerServer, StateQuery,
 };
 use rand::Rng;
 use steering::history::{Entry, Position};
@@ -57,7 +57,7 @@
     /// aborted.
     pub(super) async fn run_membership(self: Rc<Self>, peers: TcpListener) {
         let key = self.peer_key().await;
-        let local = Local {
+        let local = LocalHost {
             host: self.me.clone(),
             incarnation: self.incarnation,
             key,
@@ -231,7 +231,7 @@
         self: Rc<Self>,
         name: HostName,
         client: Rc<PeerClient>,
-        beat: Rc<Beat>,
+        beat: Rc<HeartbeatMessage>,
     ) {
         match client.heartbeat(&beat).await {
             Ok(_) => {
@@ -242,7 +242,7 @@
         }
     }
 
-    fn heartbeat(&self, leaving: bool) -> Beat {
+    fn heartbeat(&self, leaving: bool) -> HeartbeatMessage {
         self.heartbeats_sent.set(self.heartbeats_sent.get() + 1);
         let heartbeat = Heartbeat {
             host: self.me.clone(),
@@ -254,7 +254,7 @@
             confirmed_hosts: BTreeSet::new(),
             lenders: BTreeSet::new(),
         };
-        Beat {
+        HeartbeatMessage {
             heartbeat,
             revision: self.known_state.borrow().version(),
             loads: Vec::new(),
@@ -296,7 +296,7 @@
 struct MessageHandler(Rc<Control>);
 
 impl PeerHandler for MessageHandler {
-    fn heartbeat(&self, beat: Beat) -> Revision {
+    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision {
         let Heartbeat {
             host,
             incarnation,
@@ -324,7 +324,7 @@
         Position::default()
     }
 
-    fn news(&self, from: &HostEntry, incarnation: Incarnation, update: FeedUpdate) {
+    fn feed_update(&self, from: &HostEntry, incarnation: Incarnation, update: FeedUpdate) {
         let now = clock::now();
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
@@ -334,7 +334,12 @@
         self.0.receive_update(from, update);
     }
 
-    fn asked(&self, from: &HostEntry, incarnation: Incarnation, ask: HostMessage) -> HostReply {
+    fn host_message(
+        &self,
+        from: &HostEntry,
+        incarnation: Incarnation,
+        ask: HostMessage,
+    ) -> HostReply {
         let mut known_state = self.0.known_state.borrow_mut();
         known_state
             .roll
--- a/crates/gateway/src/control/learn.rs
+++ b/crates/gateway/src/control/learn.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use peer::{FeedState, StateQuery, ask_state};
+use peer::{FeedState, StateQuery, fetch_feed_state};
 use steering::membership::HostEntry;
 use steering::route::{Feed, FeedVersion, HOST_ANSWER_LIMIT};
 use tokio::time::{sleep, timeout};
@@ -39,10 +39,12 @@
         let query = StateQuery {
             feed,
             after: None,
-            most_age: Some(max_age),
+            max_age: Some(max_age),
         };
         for host in self.hosts_to_ask(feed) {
-            while let Ok(answer) = ask_state(host.peer_address, query, HOST_ANSWER_LIMIT).await {
+            while let Ok(answer) =
+                fetch_feed_state(host.peer_address, query, HOST_ANSWER_LIMIT).await
+            {
                 match answer.filter(|state| self.is_current(feed, state)) {
                     Some(state) => return self.apply_loaded(feed, &host, state),
                     None => sleep(RETRY_DELAY).await,
@@ -118,10 +120,10 @@
         let query = StateQuery {
             feed,
             after,
-            most_age: None,
+            max_age: None,
         };
         let started_at = clock::now();
-        let answer = ask_state(sender.peer_address, query, HOST_ANSWER_LIMIT).await;
+        let answer = fetch_feed_state(sender.peer_address, query, HOST_ANSWER_LIMIT).await;
         self.with_follower(feed, |follower| {
             follower.record_wait(Wait::Host, started_at)
         });
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -22,12 +22,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use clock::Suspensions;
-use peer::{Local, PeerClient};
+use clock::SuspensionDetector;
+use peer::{LocalHost, PeerClient};
 use steering::ids::{HostName, Incarnation};
 use steering::membership::HostEntry;
 use steering::route::{Feed, HolderSelector, LimitTokens, TokenPool};
-use store::Records;
+use store::RecordStore;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -49,7 +49,7 @@
 /// State of the control thread.
 pub(crate) struct Control {
     common: Common,
-    records: Box<dyn Records>,
+    records: Box<dyn RecordStore>,
     me: HostEntry,
     incarnation: Incarnation,
     known_state: RefCell<KnownState>,
@@ -62,7 +62,7 @@
     /// Key shared by all hosts of the deployment; none until it is known.
     key: RefCell<Option<Rc<[u8]>>>,
     /// Identity and key for connections to other hosts; none until the shared key is known.
-    local: RefCell<Option<Local>>,
+    local: RefCell<Option<LocalHost>>,
     /// Clients of the hosts that receive heartbeats, updates or token requests.
     clients: RefCell<BTreeMap<HostName, Rc<PeerClient>>>,
     /// Updates that are being sent to other hosts.
@@ -91,7 +91,7 @@
 pub(crate) async fn run(
     common: Common,
     peers: TcpListener,
-    records: Box<dyn Records>,
+    records: Box<dyn RecordStore>,
     incoming: Incoming,
 ) {
     let settings = &common.settings;
@@ -175,9 +175,9 @@
 
     /// Publishes a new view when entries expire.
     async fn expire_periodically(self: Rc<Self>) {
-        let mut suspensions = Suspensions::new(Instant::now(), clock::now());
+        let mut suspensions = SuspensionDetector::new(Instant::now(), clock::now());
         loop {
-            if let Some(suspended) = suspensions.look(Instant::now(), clock::now()) {
+            if let Some(suspended) = suspensions.check(Instant::now(), clock::now()) {
                 self.resume(suspended);
             }
             let now = clock::now();
--- a/crates/gateway/src/control/outage.rs
+++ b/crates/gateway/src/control/outage.rs
@@ -45,7 +45,7 @@
         let turn = self.turn.lock().await;
         // The previous call may have ended the outage.
         let retry_at = self.retry_at.get()?;
-        sleep(clock::left(retry_at)).await;
+        sleep(clock::remaining(retry_at)).await;
         Some(turn)
     }
 
--- a/crates/gateway/src/control/tokens.rs
+++ b/crates/gateway/src/control/tokens.rs
@@ -189,10 +189,10 @@
         within: Duration,
     ) -> Result<HostReply, PeerError> {
         let Some(client) = self.client(host) else {
-            return Err(PeerError::Late);
+            return Err(PeerError::Timeout);
         };
-        let reply = timeout(within, client.ask(message)).await;
-        let reply = reply.unwrap_or(Err(PeerError::Late))?;
+        let reply = timeout(within, client.send_message(message)).await;
+        let reply = reply.unwrap_or(Err(PeerError::Timeout))?;
         let mut known_state = self.known_state.borrow_mut();
         known_state.roll.answered(clock::now(), &host.name);
         Ok(reply)
--- a/crates/gateway/src/control/update_sender.rs
+++ b/crates/gateway/src/control/update_sender.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use peer::{EncodedNews, PeerClient};
+use peer::{EncodedUpdate, PeerClient};
 use steering::ids::HostName;
 use steering::route::Feed;
 use tokio::task::spawn_local;
@@ -18,11 +18,11 @@
 /// busy receiver were dropped, it would get the changes only with the next poll of the store, later
 /// by up to 0.45 of the time within which changes must be applied.
 #[derive(Clone, Default)]
-pub(super) struct UpdateSender(Rc<RefCell<HashMap<Receiver, Option<Rc<EncodedNews>>>>>);
+pub(super) struct UpdateSender(Rc<RefCell<HashMap<Receiver, Option<Rc<EncodedUpdate>>>>>);
 
 impl UpdateSender {
     /// Sends an update, after the one that is being sent has completed.
-    pub fn enqueue(&self, receiver: Receiver, client: Rc<PeerClient>, update: Rc<EncodedNews>) {
+    pub fn enqueue(&self, receiver: Receiver, client: Rc<PeerClient>, update: Rc<EncodedUpdate>) {
         let mut in_flight = self.0.borrow_mut();
         if let Some(next) = in_flight.get_mut(&receiver) {
             count(receiver.1, "busy");
@@ -33,10 +33,10 @@
         spawn_local(self.clone().send_all(receiver, client, update));
     }
 
-    async fn send_all(self, receiver: Receiver, client: Rc<PeerClient>, first: Rc<EncodedNews>) {
+    async fn send_all(self, receiver: Receiver, client: Rc<PeerClient>, first: Rc<EncodedUpdate>) {
         let mut next = Some(first);
         while let Some(update) = next {
-            let result = client.news(&update).await;
+            let result = client.send_update(&update).await;
             count(
                 receiver.1,
                 if result.is_ok() { "told" } else { "not_heard" },
@@ -49,7 +49,7 @@
     }
 
     /// The next update to send. Removes the entry if there is none.
-    fn next(&self, receiver: &Receiver) -> Option<Rc<EncodedNews>> {
+    fn next(&self, receiver: &Receiver) -> Option<Rc<EncodedUpdate>> {
         let mut in_flight = self.0.borrow_mut();
         let next = in_flight.get_mut(receiver).and_then(Option::take);
         if next.is_none() {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 use derive_more::{Display, Error, From};
 use steering::route::RouteView;
-use store::Records;
+use store::RecordStore;
 use tokio::runtime::Builder;
 use tokio::sync::watch;
 use tokio::task::LocalSet;
@@ -23,7 +23,7 @@
 use crate::wire_format::WireFormat;
 
 /// Creates the client of the store, on the thread that uses it.
-pub type RecordsFactory = Box<dyn FnOnce() -> Box<dyn Records> + Send>;
+pub type RecordsFactory = Box<dyn FnOnce() -> Box<dyn RecordStore> + Send>;
 
 /// Renders the process's metrics as text.
 pub type RenderMetrics = fn() -> String;
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Request, Response, StatusCode};
 use steering::route::{AuthError, CallerLimits, Route, Sender, WorkIdentity, WorkParts};
-use upstream::{Body, BoundError, Bounded, WorkBody, hold};
+use upstream::{Body, BodyLimitError, BoundedBody, RequestBody, buffer_body};
 
 use super::Traffic;
 use super::answers::{Cause, Refusal};
@@ -58,7 +58,7 @@
         method: parts.method.as_str(),
         path,
         customer: sender.customer().map(|customer| customer.name.as_str()),
-        body: body.held(),
+        body: body.buffered(),
     });
     let mut run = Run {
         work,
@@ -167,13 +167,13 @@
     }
 }
 
-async fn read_body(body: Incoming, limits: CallerLimits) -> Result<WorkBody, Refusal> {
-    let body = Bounded::new(body, limits.body_bytes, limits.head_timeout).boxed_unsync();
-    let held = hold(body, HELD_BODY_BYTES).await;
-    held.map(WorkBody::from).map_err(|error| {
+async fn read_body(body: Incoming, limits: CallerLimits) -> Result<RequestBody, Refusal> {
+    let body = BoundedBody::new(body, limits.body_bytes, limits.head_timeout).boxed_unsync();
+    let held = buffer_body(body, HELD_BODY_BYTES).await;
+    held.map(RequestBody::from).map_err(|error| {
         Refusal::BadRequest(match error.downcast_ref() {
-            Some(BoundError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-            Some(BoundError::Stalled) => StatusCode::REQUEST_TIMEOUT,
+            Some(BodyLimitError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
+            Some(BodyLimitError::Stalled) => StatusCode::REQUEST_TIMEOUT,
             None => StatusCode::BAD_REQUEST,
         })
     })
--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -12,7 +12,7 @@
     Unavailable, UnavailableCause, UpstreamId, WorkEvent, WorkIdentity, choose, decide_retry,
 };
 use tokio::task::spawn_local;
-use upstream::{Body, WorkBody};
+use upstream::{Body, RequestBody};
 
 use super::Traffic;
 use super::answers::{Cause, Refusal};
@@ -46,7 +46,7 @@
     /// Who sent the request.
     pub sender: &'a Sender,
     pub parts: Parts,
-    pub body: WorkBody,
+    pub body: RequestBody,
     /// Time by which the request must be answered, even with an error.
     pub deadline: Instant,
     /// Whether the caller has sent this request before.
--- a/crates/gateway/src/traffic/send.rs
+++ b/crates/gateway/src/traffic/send.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use steering::route::{AnswerOutcome, Choice, SendOutcome, Sender, Upstream, WorkIdentity};
 use steering::statement::Obstacle;
-use upstream::{Body, Holding, Reuse, SendError, TrackedBody, WorkBody, end_to_end};
+use upstream::{Body, GuardedBody, RequestBody, Reuse, SendError, TrackedBody, end_to_end};
 
 use super::Traffic;
 use super::head::Head;
@@ -104,7 +104,7 @@
 pub(super) struct OutgoingRequest<'a> {
     pub head: &'a Head,
     pub parts: &'a Parts,
-    pub body: &'a mut WorkBody,
+    pub body: &'a mut RequestBody,
     pub repeatable: bool,
     /// Time after which an answer is useless.
     pub deadline: Instant,
@@ -192,7 +192,7 @@
                 ..SendFailure::new(SendOutcome::Perhaps, reason)
             })
         }
-        Err(SendError::Late) => {
+        Err(SendError::Timeout) => {
             count_send("late");
             choice.note_timeout(clock::now(), clock::elapsed(in_flight.started_at));
             Err(SendFailure::new(SendOutcome::Perhaps, "late"))
@@ -308,6 +308,6 @@
     }
     let (mut parts, body) = answer.into_parts();
     parts.headers = end_to_end(&parts.headers);
-    let body = Holding::new(body, in_flight).boxed_unsync();
+    let body = GuardedBody::new(body, in_flight).boxed_unsync();
     Ok(Response::from_parts(parts, body))
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -24,10 +24,12 @@
     read_grant, read_json, read_position, read_records, read_summaries, write_beat, write_host,
     write_json, write_position, write_records, write_request, write_summaries,
 };
-use crate::messages::{Beat, EncodedNews, Exchange, ExchangeReply, FeedState, Local, StateQuery};
+use crate::messages::{
+    EncodedUpdate, Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, StateQuery,
+};
 use crate::peer_capnp::{PROTOCOL_VERSION, gate, session};
 use crate::traffic::{Counted, PeerTraffic};
-use crate::transit::Replies;
+use crate::transit::ReplyTimes;
 use crate::{ENTRIES_LIMIT, before, millis, reader_options, tag};
 
 /// Why a call brought nothing.
@@ -42,13 +44,13 @@
     /// No answer came in time.
     #[display("no answer in time")]
     #[from(skip)]
-    Late,
+    Timeout,
 }
 
 /// An open session; closed when dropped.
 struct Connection {
     session: session::Client,
-    replies: RefCell<Replies>,
+    replies: RefCell<ReplyTimes>,
     task: AbortHandle,
 }
 
@@ -61,14 +63,14 @@
 /// Calls one other host. It connects when needed, and again after an error.
 pub struct PeerClient {
     address: SocketAddr,
-    local: Local,
+    local: LocalHost,
     deadline: Duration,
     connection: RefCell<Option<Rc<Connection>>>,
 }
 
 impl PeerClient {
     /// A client of the host at `address`; every call ends within `deadline`.
-    pub fn new(address: SocketAddr, local: Local, deadline: Duration) -> Self {
+    pub fn new(address: SocketAddr, local: LocalHost, deadline: Duration) -> Self {
         PeerClient {
             address,
             local,
@@ -83,7 +85,7 @@
     }
 
     /// Sends a heartbeat; the revision in force at the other host.
-    pub async fn heartbeat(&self, beat: &Beat) -> Result<Revision, PeerError> {
+    pub async fn heartbeat(&self, beat: &HeartbeatMessage) -> Result<Revision, PeerError> {
         self.call(async |session| {
             let mut request = session.heartbeat_request();
             write_beat(request.get().init_beat(), beat);
@@ -133,11 +135,11 @@
 
     /// Passes on a part of a feed. News of one feed are sent one after the other: the
     /// receiver bounds the time of each message by the reply to the one before.
-    pub async fn news(&self, news: &EncodedNews) -> Result<(), PeerError> {
+    pub async fn send_update(&self, news: &EncodedUpdate) -> Result<(), PeerError> {
         self.call_on(async |connection| {
             let mut request = connection.session.news_request();
             let now = clock::now();
-            let since_reply = connection.replies.borrow().since(news.feed, now);
+            let since_reply = connection.replies.borrow().since_last(news.feed, now);
             let mut params = request.get();
             params.set_age_ms(millis(now.saturating_duration_since(news.as_of)));
             params.set_since_reply_ms(since_reply.as_millis() as u32);
@@ -148,7 +150,7 @@
             params.set_store(&write_json(&news.store(now)));
             request.send().promise.await?;
             let mut replies = connection.replies.borrow_mut();
-            replies.note(news.feed, clock::now());
+            replies.record(news.feed, clock::now());
             Ok(())
         })
         .await
@@ -175,7 +177,7 @@
     }
 
     /// Asks or tells what hosts keep together.
-    pub async fn ask(&self, ask: &HostMessage) -> Result<HostReply, PeerError> {
+    pub async fn send_message(&self, ask: &HostMessage) -> Result<HostReply, PeerError> {
         self.call(async |session| {
             let mut request = session.tokens_request();
             let ask = write_records(ask, usize::MAX).expect("questions can be written");
@@ -203,7 +205,7 @@
             Ok(with(&connection).await?)
         };
         let result = timeout(self.deadline, call).await;
-        let result = result.unwrap_or(Err(PeerError::Late));
+        let result = result.unwrap_or(Err(PeerError::Timeout));
         if result.is_err() {
             // The next call starts anew: what comes late is not heard any more.
             self.connection.take();
@@ -224,7 +226,7 @@
         let (gate, mut task) = open_gate(self.address, &self.local.traffic).await?;
         let challenge = gate.challenge_request().send().promise.await?;
         let nonce = challenge.get()?.get_nonce()?;
-        let Local {
+        let LocalHost {
             host,
             incarnation,
             key,
@@ -236,7 +238,7 @@
         request.get().set_incarnation(*incarnation);
         request.get().set_tag(&tag.finalize().into_bytes());
         request.get().set_version(PROTOCOL_VERSION);
-        let replies = RefCell::new(Replies::new(clock::now()));
+        let replies = RefCell::new(ReplyTimes::new(clock::now()));
         let opened = request.send().promise.await?;
         let session = opened.get()?.get_session()?;
         let task = task.0.take().expect("it is taken only here");
@@ -254,7 +256,7 @@
 /// # Errors
 ///
 /// The host can't be reached, or does not answer within `deadline`.
-pub async fn ask_state(
+pub async fn fetch_feed_state(
     address: SocketAddr,
     query: StateQuery,
     deadline: Duration,
@@ -281,7 +283,7 @@
     };
     timeout(deadline, call)
         .await
-        .unwrap_or(Err(PeerError::Late))
+        .unwrap_or(Err(PeerError::Timeout))
 }
 
 /// Connects to a host that does not know yet who calls.
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -13,7 +13,7 @@
 use steering::membership::{Heartbeat, HostEntry};
 use steering::pool::PoolLoad;
 
-use crate::messages::Beat;
+use crate::messages::HeartbeatMessage;
 use crate::names::{ServiceNames, service_id};
 use crate::{LIST_LIMIT, peer_capnp as wire};
 
@@ -153,7 +153,7 @@
     Ok(loads)
 }
 
-pub fn write_beat(mut to: wire::heartbeat::Builder<'_>, beat: &Beat) {
+pub fn write_beat(mut to: wire::heartbeat::Builder<'_>, beat: &HeartbeatMessage) {
     let heartbeat = &beat.heartbeat;
     to.set_sequence(heartbeat.sequence);
     to.set_revision(beat.revision);
@@ -197,8 +197,8 @@
     host: &HostEntry,
     incarnation: Incarnation,
     names: &ServiceNames,
-) -> Result<Beat, Error> {
-    Ok(Beat {
+) -> Result<HeartbeatMessage, Error> {
+    Ok(HeartbeatMessage {
         heartbeat: Heartbeat {
             host: host.clone(),
             incarnation,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -24,12 +24,14 @@
 #[path = "generated/peer_capnp.rs"]
 mod peer_capnp;
 
-pub use client::{PeerClient, PeerError, ask_state};
-pub use messages::{Beat, EncodedNews, Exchange, ExchangeReply, FeedState, Local, StateQuery};
+pub use client::{PeerClient, PeerError, fetch_feed_state};
+pub use messages::{
+    EncodedUpdate, Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, StateQuery,
+};
 pub use names::{ServiceId, ServiceNames, service_id};
 pub use server::{PeerHandler, PeerServer};
 pub use traffic::PeerTraffic;
-pub use transit::{Receipts, Replies};
+pub use transit::{ReceiptTimes, ReplyTimes};
 
 use std::time::{Duration, Instant};
 
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -16,7 +16,7 @@
 
 /// This host, as all its connections to others share it.
 #[derive(Debug, Clone)]
-pub struct Local {
+pub struct LocalHost {
     /// Where it can be reached.
     pub host: HostEntry,
     /// Its start.
@@ -31,7 +31,7 @@
 
 /// A heartbeat with what rides on it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Beat {
+pub struct HeartbeatMessage {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Revision in force at the sender.
@@ -40,7 +40,7 @@
     pub loads: Vec<ServiceLoad>,
 }
 
-impl Beat {
+impl HeartbeatMessage {
     /// Size of the message that carries it, in bytes.
     pub fn wire_bytes(&self) -> usize {
         let mut message = capnp::message::Builder::new_default();
@@ -73,7 +73,7 @@
 
 /// A part of a feed, encoded once for all who are told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EncodedNews {
+pub struct EncodedUpdate {
     pub(crate) feed: Feed,
     pub(crate) version: FeedVersion,
     pub(crate) digest: FeedDigest,
@@ -85,13 +85,13 @@
     made: Instant,
 }
 
-impl EncodedNews {
+impl EncodedUpdate {
     /// Encodes news that were so at `made`. Where the records take more than `most_bytes`
     /// they are left out: whoever lacks them sees it by the digest, and asks for them.
     pub fn new(news: &FeedUpdate, most_bytes: usize, made: Instant) -> Self {
         let none = || write_records(&Vec::<Record>::new(), usize::MAX);
         let records = write_records(&news.records, most_bytes).or_else(none);
-        EncodedNews {
+        EncodedUpdate {
             feed: news.feed,
             version: news.version,
             digest: news.digest,
@@ -131,5 +131,6 @@
     pub after: Option<FeedVersion>,
     /// Time since the store was last heard beyond which an answer is of no use; none where
     /// any answer is better than none.
-    pub most_age: Option<Duration>,
+    #[serde(rename = "most_age")]
+    pub max_age: Option<Duration>,
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -24,11 +24,13 @@
     read_beat, read_host, read_json, read_position, read_records, read_request, read_summaries,
     write_grant, write_json, write_position, write_records, write_summaries,
 };
-use crate::messages::{Beat, Exchange, ExchangeReply, FeedState, Local, StateQuery};
+use crate::messages::{
+    Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, StateQuery,
+};
 use crate::names::ServiceNames;
 use crate::peer_capnp::{PROTOCOL_VERSION, gate, session};
 use crate::traffic::Counted;
-use crate::transit::Receipts;
+use crate::transit::ReceiptTimes;
 use crate::{NONCE_BYTES, before, millis, reader_options, tag};
 
 const CONNECTIONS_LIMIT: usize = 512;
@@ -43,21 +45,26 @@
 /// What a host does with messages of other hosts; each call must be short.
 pub trait PeerHandler {
     /// Takes a heartbeat.
-    fn heartbeat(&self, beat: Beat) -> Revision;
+    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision;
     /// Takes and gives configuration and summaries.
     fn exchange(&self, from: &HostEntry, exchange: Exchange) -> ExchangeReply;
     /// Takes an accepted change from another host.
     fn push(&self, from: &HostName, entry: Entry) -> Position;
     /// Takes a part of a feed of the store. A host that serves no routes has no use
     /// for it.
-    fn news(&self, _from: &HostEntry, _incarnation: Incarnation, _news: FeedUpdate) {}
+    fn feed_update(&self, _from: &HostEntry, _incarnation: Incarnation, _news: FeedUpdate) {}
     /// What this host has taken from a feed of the store; none where it can't tell.
     fn state(&self, _query: StateQuery) -> Option<FeedState> {
         None
     }
     /// Answers what is asked about things that hosts keep together. A host that serves no
     /// routes keeps none.
-    fn asked(&self, _from: &HostEntry, _incarnation: Incarnation, _ask: HostMessage) -> HostReply {
+    fn host_message(
+        &self,
+        _from: &HostEntry,
+        _incarnation: Incarnation,
+        _ask: HostMessage,
+    ) -> HostReply {
         HostReply::Tokens(TokenReply::NoPool)
     }
     /// Lends a part of a limit.
@@ -66,14 +73,14 @@
 
 /// Serves other hosts on a local task set.
 pub struct PeerServer {
-    local: Local,
+    local: LocalHost,
     handler: Rc<dyn PeerHandler>,
     open: Rc<Cell<usize>>,
 }
 
 impl PeerServer {
     /// Serves hosts that hold the key.
-    pub fn new(local: Local, handler: Rc<dyn PeerHandler>) -> Self {
+    pub fn new(local: LocalHost, handler: Rc<dyn PeerHandler>) -> Self {
         PeerServer {
             local,
             handler,
@@ -122,7 +129,7 @@
 }
 
 struct GateServer {
-    local: Local,
+    local: LocalHost,
     handler: Rc<dyn PeerHandler>,
     /// Of the last challenge, and when it was given; used once.
     nonce: RefCell<Option<([u8; NONCE_BYTES], Instant)>>,
@@ -175,7 +182,7 @@
             incarnation,
             names: Rc::clone(&self.local.names),
             handler: Rc::clone(&self.handler),
-            receipts: RefCell::new(Receipts::new(challenged)),
+            receipts: RefCell::new(ReceiptTimes::new(challenged)),
         };
         results.get().set_session(new_client(session));
         Ok(())
@@ -211,7 +218,7 @@
     incarnation: Incarnation,
     names: Rc<ServiceNames>,
     handler: Rc<dyn PeerHandler>,
-    receipts: RefCell<Receipts>,
+    receipts: RefCell<ReceiptTimes>,
 }
 
 impl session::Server for SessionServer {
@@ -272,7 +279,7 @@
         let now = clock::now();
         let since_reply = Duration::from_millis(params.get_since_reply_ms().into());
         let mut receipts = self.receipts.borrow_mut();
-        let in_transit = receipts.in_transit_most(feed, now, since_reply);
+        let in_transit = receipts.max_transit_time(feed, now, since_reply);
         drop(receipts);
         let age = Duration::from_millis(params.get_age_ms().into()) + in_transit;
         let mut store: StoreUptime = read_json(params.get_store()?)?;
@@ -285,7 +292,7 @@
             store_uptime: store,
             as_of: before(now, age),
         };
-        self.handler.news(&self.host, self.incarnation, news);
+        self.handler.feed_update(&self.host, self.incarnation, news);
         Ok(())
     }
 
@@ -295,7 +302,7 @@
         mut results: session::TokensResults,
     ) -> Result<(), Error> {
         let ask: HostMessage = read_records(params.get()?.get_ask()?)?;
-        let reply = self.handler.asked(&self.host, self.incarnation, ask);
+        let reply = self.handler.host_message(&self.host, self.incarnation, ask);
         let reply = write_records(&reply, usize::MAX).expect("answers can be written");
         results.get().set_reply(&reply);
         Ok(())
--- a/crates/peer/src/transit.rs
+++ b/crates/peer/src/transit.rs
@@ -12,28 +12,28 @@
 
 /// The sender's side, for one session.
 #[derive(Debug)]
-pub struct Replies {
+pub struct ReplyTimes {
     /// When the session was asked for, in reply to the receiver's challenge.
     opened: Instant,
     last: HashMap<Feed, Instant>,
 }
 
-impl Replies {
+impl ReplyTimes {
     /// A session that was asked for at `opened`.
     pub fn new(opened: Instant) -> Self {
-        Replies {
+        ReplyTimes {
             opened,
             last: HashMap::new(),
         }
     }
 
     /// Notes the reply to a message.
-    pub fn note(&mut self, feed: Feed, now: Instant) {
+    pub fn record(&mut self, feed: Feed, now: Instant) {
         self.last.insert(feed, now);
     }
 
     /// Time since the last reply.
-    pub fn since(&self, feed: Feed, now: Instant) -> Duration {
+    pub fn since_last(&self, feed: Feed, now: Instant) -> Duration {
         let last = self.last.get(&feed).unwrap_or(&self.opened);
         now.saturating_duration_since(*last)
     }
@@ -41,16 +41,16 @@
 
 /// The receiver's side, for one session.
 #[derive(Debug)]
-pub struct Receipts {
+pub struct ReceiptTimes {
     /// When the sender was given its challenge.
     challenged: Instant,
     last: HashMap<Feed, Instant>,
 }
 
-impl Receipts {
+impl ReceiptTimes {
     /// A session whose sender was given its challenge at `challenged`.
     pub fn new(challenged: Instant) -> Self {
-        Receipts {
+        ReceiptTimes {
             challenged,
             last: HashMap::new(),
         }
@@ -58,7 +58,12 @@
 
     /// Longest time that a message can have been under way that comes now, and whose sender
     /// had the last reply `since_reply` before it sent it.
-    pub fn in_transit_most(&mut self, feed: Feed, now: Instant, since_reply: Duration) -> Duration {
+    pub fn max_transit_time(
+        &mut self,
+        feed: Feed,
+        now: Instant,
+        since_reply: Duration,
+    ) -> Duration {
         let before = self.last.insert(feed, now).unwrap_or(self.challenged);
         now.saturating_duration_since(before)
             .saturating_sub(since_reply)
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use peer::{
-    Beat, EncodedNews, Exchange, ExchangeReply, Local, PeerClient, PeerHandler, PeerServer,
+    EncodedUpdate, Exchange, ExchangeReply, HeartbeatMessage, LocalHost, PeerClient, PeerHandler,
+    PeerServer,
 };
 use rstest::rstest;
 use steering::history::{Entry, Position};
@@ -28,14 +29,14 @@
 /// Keeps what it is told, and tells all of it to whoever asks.
 #[derive(Default)]
 struct Keeper {
-    beats: RefCell<Vec<Beat>>,
+    beats: RefCell<Vec<HeartbeatMessage>>,
     summaries: RefCell<Vec<ZoneSummary>>,
     from: RefCell<Option<HostEntry>>,
     news: RefCell<Vec<FeedUpdate>>,
 }
 
 impl PeerHandler for Keeper {
-    fn heartbeat(&self, beat: Beat) -> Revision {
+    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision {
         self.beats.borrow_mut().push(beat);
         REVISION
     }
@@ -54,7 +55,7 @@
         Position::default()
     }
 
-    fn news(&self, _: &HostEntry, _: Incarnation, news: FeedUpdate) {
+    fn feed_update(&self, _: &HostEntry, _: Incarnation, news: FeedUpdate) {
         self.news.borrow_mut().push(news);
     }
 
@@ -88,8 +89,8 @@
     }
 }
 
-fn local(host: HostEntry, key: &str, services: &[&str]) -> Local {
-    let local = Local {
+fn local(host: HostEntry, key: &str, services: &[&str]) -> LocalHost {
+    let local = LocalHost {
         host,
         incarnation: 5,
         key: key.as_bytes().into(),
@@ -113,8 +114,8 @@
     }
 }
 
-fn beat(host: &HostEntry) -> Beat {
-    Beat {
+fn beat(host: &HostEntry) -> HeartbeatMessage {
+    HeartbeatMessage {
         heartbeat: Heartbeat {
             host: host.clone(),
             incarnation: 5,
@@ -240,9 +241,9 @@
         };
         let news_as_of = news.as_of;
         let bytes = postcard::to_allocvec(&news.records).unwrap().len();
-        let encoded = EncodedNews::new(&news, bytes - too_many, news.as_of);
+        let encoded = EncodedUpdate::new(&news, bytes - too_many, news.as_of);
         let client = PeerClient::new(address, local(me, "k", &["known"]), DEADLINE);
-        client.news(&encoded).await.unwrap();
+        client.send_update(&encoded).await.unwrap();
         let mut expected = news;
         if !told {
             expected.records.clear();
--- a/crates/peer/tests/transit.rs
+++ b/crates/peer/tests/transit.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use peer::{Receipts, Replies};
+use peer::{ReceiptTimes, ReplyTimes};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -30,18 +30,18 @@
     let receiver = Instant::now() + ms(0..1_000_000, &mut rng);
     let challenge_way = way(&mut rng);
     let mut now = challenge_way;
-    let mut replies = Replies::new(sender + now);
-    let mut receipts = Receipts::new(receiver);
+    let mut replies = ReplyTimes::new(sender + now);
+    let mut receipts = ReceiptTimes::new(receiver);
     let mut reply_way = challenge_way;
     for _ in 0..MESSAGES {
         now += ms(0..2_000, &mut rng);
-        let since_reply = replies.since(Feed::Upstreams, sender + now);
+        let since_reply = replies.since_last(Feed::Upstreams, sender + now);
         let under_way = way(&mut rng);
         now += under_way;
-        let most = receipts.in_transit_most(Feed::Upstreams, receiver + now, since_reply);
+        let most = receipts.max_transit_time(Feed::Upstreams, receiver + now, since_reply);
         assert_eq!(most, under_way + reply_way);
         reply_way = way(&mut rng);
         now += reply_way;
-        replies.note(Feed::Upstreams, sender + now);
+        replies.record(Feed::Upstreams, sender + now);
     }
 }
--- a/crates/standin/src/measure/capacity/hosts.rs
+++ b/crates/standin/src/measure/capacity/hosts.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Instant;
 
-use peer::Beat;
+use peer::HeartbeatMessage;
 use serde_json::Value;
 use steering::load_estimate::ServiceLoad;
 use steering::membership::{Membership, Timing};
@@ -108,7 +108,7 @@
         service: "service-1".to_owned(),
         load: PoolLoad::default(),
     };
-    let beat = Beat {
+    let beat = HeartbeatMessage {
         heartbeat: membership.heartbeat(Instant::now(), Default::default()),
         revision: 1,
         loads: vec![load],
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -133,7 +133,7 @@
             let entries = self.changes_after(history.revision())?;
             if entries.is_empty() {
                 let missing = format!("no change after revision {}", history.revision());
-                return Err(StoreError::Nonsense(missing).into());
+                return Err(StoreError::InvalidAnswer(missing).into());
             }
             for entry in &entries {
                 history.accept(entry)?;
@@ -152,7 +152,8 @@
     fn load_snapshot(&self, history: &mut History, revision: Revision) -> Result<(), PollError> {
         let name = snapshot_name(revision);
         let bytes = self.platform.get(&name)?;
-        let bytes = bytes.ok_or_else(|| StoreError::Nonsense(format!("no object `{name}`")))?;
+        let bytes =
+            bytes.ok_or_else(|| StoreError::InvalidAnswer(format!("no object `{name}`")))?;
         let snapshot: Snapshot =
             serde_json::from_slice(&bytes).map_err(|_| HistoryError::DigestMismatch(revision))?;
         history.install(&snapshot)?;
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -90,7 +90,7 @@
         .limit(ANSWER_LIMIT_BYTES)
         .read_to_vec()
         .map_err(lost)?;
-    serde_json::from_slice(&bytes).map_err(|error| StoreError::Nonsense(error.to_string()))
+    serde_json::from_slice(&bytes).map_err(|error| StoreError::InvalidAnswer(error.to_string()))
 }
 
 fn lost(error: ureq::Error) -> StoreError {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -16,7 +16,7 @@
 pub use config::{ConfigStore, PollError};
 pub use hosts::{HostList, ListedHost};
 pub use http::{HttpPlatform, wire};
-pub use records::{Call, HOSTS_TABLE, OwnRow, PEER_KEY_ROW, RecordError, Records};
+pub use records::{HOSTS_TABLE, OwnRow, PEER_KEY_ROW, RecordError, RecordStore, StoreFuture};
 pub use roster::RosterStore;
 pub use table::{
     ABSENT, Commit, Condition, Key, ObjectStore, Platform, Row, StoreError, Table, Transaction,
--- a/crates/store/src/records.rs
+++ b/crates/store/src/records.rs
@@ -9,7 +9,7 @@
 use steering::route::{Changes, Feed, FeedVersion};
 
 /// A call in progress; calls are made on one thread.
-pub type Call<'a, T> = Pin<Box<dyn Future<Output = Result<T, RecordError>> + 'a>>;
+pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, RecordError>> + 'a>>;
 
 /// A row of the system's own.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,13 +28,13 @@
     NoAnswer(#[error(not(source))] String),
     /// It turned the call away and did nothing.
     #[display("turned away with status {_0}")]
-    TurnedAway(#[error(not(source))] u16),
+    Rejected(#[error(not(source))] u16),
     /// The feed no longer goes back so far; it must be read whole.
     #[display("the history is gone")]
     HistoryGone,
     /// It answered with something that makes no sense.
     #[display("the answer makes no sense: {_0}")]
-    Nonsense(#[error(not(source))] String),
+    InvalidAnswer(#[error(not(source))] String),
 }
 
 /// Table behind [`Feed::Hosts`]: a row for each host under its name, its
@@ -46,15 +46,15 @@
 pub const PEER_KEY_ROW: &str = "*peer-key";
 
 /// The store, as hosts that serve routes see it.
-pub trait Records {
+pub trait RecordStore {
     /// Reads a feed whole.
-    fn read(&self, feed: Feed) -> Call<'_, Changes>;
+    fn read(&self, feed: Feed) -> StoreFuture<'_, Changes>;
     /// Waits for what follows `after`, at most for `wait`; the records may be none.
-    fn watch(&self, feed: Feed, after: FeedVersion, wait: Duration) -> Call<'_, Changes>;
+    fn watch(&self, feed: Feed, after: FeedVersion, wait: Duration) -> StoreFuture<'_, Changes>;
     /// Writes a row, whatever was there.
-    fn put(&self, table: &'static str, row: OwnRow) -> Call<'_, ()>;
+    fn put(&self, table: &'static str, row: OwnRow) -> StoreFuture<'_, ()>;
     /// Writes a row where there is none; false where there is one.
-    fn create(&self, table: &'static str, row: OwnRow) -> Call<'_, bool>;
+    fn create(&self, table: &'static str, row: OwnRow) -> StoreFuture<'_, bool>;
     /// Takes a row away, whether or not it is there.
-    fn remove(&self, table: &'static str, key: &str) -> Call<'_, ()>;
+    fn remove(&self, table: &'static str, key: &str) -> StoreFuture<'_, ()>;
 }
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -92,7 +92,7 @@
     AnswerLost(#[error(not(source))] String),
     /// It answered with something that makes no sense.
     #[display("the platform's answer makes no sense: {_0}")]
-    Nonsense(#[error(not(source))] String),
+    InvalidAnswer(#[error(not(source))] String),
 }
 
 /// The transactional table service.
@@ -123,13 +123,13 @@
     let rows = table.read(&[key.to_owned()])?;
     rows.into_iter()
         .next()
-        .ok_or_else(|| StoreError::Nonsense(format!("no row for `{key}`")))
+        .ok_or_else(|| StoreError::InvalidAnswer(format!("no row for `{key}`")))
 }
 
 /// Reads a value that is stored as JSON.
 pub(crate) fn parse<T: serde::de::DeserializeOwned>(row: &Row) -> Result<T, StoreError> {
     serde_json::from_str(&row.value)
-        .map_err(|error| StoreError::Nonsense(format!("row `{}`: {error}", row.key)))
+        .map_err(|error| StoreError::InvalidAnswer(format!("row `{}`: {error}", row.key)))
 }
 
 /// A value as it is stored.
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -11,22 +11,22 @@
 use tokio::time::{Instant, Sleep, sleep};
 
 /// A body that holds a value until it ends or is dropped.
-pub struct Holding<B, T> {
+pub struct GuardedBody<B, T> {
     body: B,
     held: Option<T>,
 }
 
-impl<B, T> Holding<B, T> {
+impl<B, T> GuardedBody<B, T> {
     /// Holds `held` with the body.
     pub fn new(body: B, held: T) -> Self {
-        Holding {
+        GuardedBody {
             body,
             held: Some(held),
         }
     }
 }
 
-impl<B, T> HttpBody for Holding<B, T>
+impl<B, T> HttpBody for GuardedBody<B, T>
 where
     B: HttpBody<Data = Bytes, Error = BodyError> + Unpin,
     T: Unpin,
@@ -55,17 +55,17 @@
 }
 
 /// A body that fails where its sender is silent for too long, or sends too much.
-pub struct Bounded<B> {
+pub struct BoundedBody<B> {
     body: B,
     left: u64,
     stall: Duration,
     timer: Pin<Box<Sleep>>,
 }
 
-impl<B> Bounded<B> {
+impl<B> BoundedBody<B> {
     /// At most `limit` bytes, at most `stall` between two parts.
     pub fn new(body: B, limit: u64, stall: Duration) -> Self {
-        Bounded {
+        BoundedBody {
             body,
             left: limit,
             stall,
@@ -76,7 +76,7 @@
 
 /// Why a body of a caller was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-pub enum BoundError {
+pub enum BodyLimitError {
     /// It is larger than allowed.
     #[display("the body is too large")]
     TooLarge,
@@ -85,7 +85,7 @@
     Stalled,
 }
 
-impl<B> HttpBody for Bounded<B>
+impl<B> HttpBody for BoundedBody<B>
 where
     B: HttpBody<Data = Bytes> + Unpin,
     B::Error: Into<BodyError>,
@@ -99,7 +99,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(context) else {
             ready!(self.timer.as_mut().poll(context));
-            return Poll::Ready(Some(Err(BoundError::Stalled.into())));
+            return Poll::Ready(Some(Err(BodyLimitError::Stalled.into())));
         };
         let next = Instant::now() + self.stall;
         self.timer.as_mut().reset(next);
@@ -108,7 +108,7 @@
         };
         let size = frame.data_ref().map_or(0, |data| data.len() as u64);
         if size > self.left {
-            return Poll::Ready(Some(Err(BoundError::TooLarge.into())));
+            return Poll::Ready(Some(Err(BodyLimitError::TooLarge.into())));
         }
         self.left -= size;
         Poll::Ready(Some(Ok(frame)))
@@ -160,7 +160,7 @@
 }
 
 /// A body that was read as far as is held.
-pub enum Held {
+pub enum BufferedBody {
     /// All of it.
     Whole(Bytes),
     /// More than is held; the body from its start.
@@ -168,10 +168,10 @@
 }
 
 /// Reads a body, and holds it whole where it has at most `limit` bytes.
-pub async fn hold(mut body: Body, limit: usize) -> Result<Held, BodyError> {
+pub async fn buffer_body(mut body: Body, limit: usize) -> Result<BufferedBody, BodyError> {
     let mut held = BytesMut::new();
     if body.size_hint().lower() > limit as u64 {
-        return Ok(Held::Streaming(body));
+        return Ok(BufferedBody::Streaming(body));
     }
     while let Some(frame) = body.frame().await {
         // Trailers are dropped: neither side of the system promises them.
@@ -183,58 +183,58 @@
                 first: Some(held.freeze()),
                 rest: body,
             };
-            return Ok(Held::Streaming(resumed.boxed_unsync()));
+            return Ok(BufferedBody::Streaming(resumed.boxed_unsync()));
         }
     }
-    Ok(Held::Whole(held.freeze()))
+    Ok(BufferedBody::Whole(held.freeze()))
 }
 
 /// The body of a request, to be sent once or more.
-pub enum WorkBody {
+pub enum RequestBody {
     /// Held whole.
     Whole(Bytes),
     /// Passed on as it comes; none once it has been sent.
     Streaming(Option<Body>),
 }
 
-impl WorkBody {
+impl RequestBody {
     /// A body to send; none where it can't be sent again.
     pub fn take(&mut self) -> Option<Body> {
         match self {
-            WorkBody::Whole(bytes) => Some(full(bytes.clone())),
-            WorkBody::Streaming(body) => body.take(),
+            RequestBody::Whole(bytes) => Some(full(bytes.clone())),
+            RequestBody::Streaming(body) => body.take(),
         }
     }
 
     /// All of it, where it is held whole.
-    pub fn held(&self) -> Option<&[u8]> {
+    pub fn buffered(&self) -> Option<&[u8]> {
         match self {
-            WorkBody::Whole(bytes) => Some(bytes),
-            WorkBody::Streaming(_) => None,
+            RequestBody::Whole(bytes) => Some(bytes),
+            RequestBody::Streaming(_) => None,
         }
     }
 
     /// A body that was not sent.
     pub fn put_back(&mut self, unsent: Body) {
-        if let WorkBody::Streaming(body) = self {
+        if let RequestBody::Streaming(body) = self {
             *body = Some(unsent);
         }
     }
 
     /// A copy, where it is held whole.
-    pub fn copy(&self) -> Option<WorkBody> {
+    pub fn copy(&self) -> Option<RequestBody> {
         match self {
-            WorkBody::Whole(bytes) => Some(WorkBody::Whole(bytes.clone())),
-            WorkBody::Streaming(_) => None,
+            RequestBody::Whole(bytes) => Some(RequestBody::Whole(bytes.clone())),
+            RequestBody::Streaming(_) => None,
         }
     }
 }
 
-impl From<Held> for WorkBody {
-    fn from(held: Held) -> Self {
+impl From<BufferedBody> for RequestBody {
+    fn from(held: BufferedBody) -> Self {
         match held {
-            Held::Whole(bytes) => WorkBody::Whole(bytes),
-            Held::Streaming(body) => WorkBody::Streaming(Some(body)),
+            BufferedBody::Whole(bytes) => RequestBody::Whole(bytes),
+            BufferedBody::Streaming(body) => RequestBody::Streaming(Some(body)),
         }
     }
 }
--- a/crates/upstream/src/connections.rs
+++ b/crates/upstream/src/connections.rs
@@ -59,7 +59,7 @@
     },
     /// The deadline passed after it was sent, at least in part.
     #[display("sent, no answer before the deadline")]
-    Late,
+    Timeout,
 }
 
 impl SendError {
@@ -123,7 +123,11 @@
         request: Request<Body>,
         deadline: Instant,
     ) -> Result<Response<TrackedBody>, SendError> {
-        let answer = timeout(clock::left(deadline), self.sender.try_send_request(request)).await;
+        let answer = timeout(
+            clock::remaining(deadline),
+            self.sender.try_send_request(request),
+        )
+        .await;
         match answer {
             Ok(Ok(answer)) => {
                 if let Some(told) = keep_alive(answer.headers()) {
@@ -137,7 +141,7 @@
                     reason: error.into_error().to_string(),
                 }),
             },
-            Err(_) => Err(SendError::Late),
+            Err(_) => Err(SendError::Timeout),
         }
     }
 
@@ -182,7 +186,11 @@
         reuse: Reuse,
         deadline: Instant,
     ) -> Result<Lease, String> {
-        let lease = timeout(clock::left(deadline), self.lease(address, limit, reuse)).await;
+        let lease = timeout(
+            clock::remaining(deadline),
+            self.lease(address, limit, reuse),
+        )
+        .await;
         match lease {
             Ok(lease) => lease.map_err(|error| error.to_string()),
             Err(_) => Err("connecting took too long".to_owned()),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -10,11 +10,11 @@
 mod rest;
 mod tracked;
 
-pub use body::{BoundError, Bounded, Held, Holding, WorkBody, hold};
+pub use body::{BodyLimitError, BoundedBody, BufferedBody, GuardedBody, RequestBody, buffer_body};
 pub use connections::{Connections, Lease, Reuse, SendError};
 pub use headers::end_to_end;
 pub use probe::{LOAD_PATH, ProbeError, probe};
-pub use rest::rest_asked;
+pub use rest::requested_rest;
 pub use tracked::TrackedBody;
 
 use bytes::Bytes;
--- a/crates/upstream/src/probe.rs
+++ b/crates/upstream/src/probe.rs
@@ -24,10 +24,10 @@
     Send(SendError),
     /// The answer came too late.
     #[display("the report came too late")]
-    Late,
+    Timeout,
     /// The answer is not a report.
     #[display("the answer is not a load report: {_0}")]
-    Nonsense(#[error(not(source))] String),
+    InvalidAnswer(#[error(not(source))] String),
 }
 
 /// Asks once; `limit` connections may be open to the upstream.
@@ -39,7 +39,7 @@
 ) -> Result<LoadReport, ProbeError> {
     match timeout(within, ask(connections, address, limit, within)).await {
         Ok(report) => report,
-        Err(_) => Err(ProbeError::Late),
+        Err(_) => Err(ProbeError::Timeout),
     }
 }
 
@@ -52,7 +52,7 @@
     let request = Request::get(LOAD_PATH)
         .header("host", address.to_string())
         .body(full(""))
-        .map_err(|error| ProbeError::Nonsense(error.to_string()))?;
+        .map_err(|error| ProbeError::InvalidAnswer(error.to_string()))?;
     let deadline = clock::now() + within;
     let answer = connections
         .send(address, limit, Reuse::Any, request, deadline)
@@ -61,7 +61,7 @@
     let body = Limited::new(answer.into_body(), REPORT_LIMIT_BYTES)
         .collect()
         .await
-        .map_err(|error| ProbeError::Nonsense(error.to_string()))?;
+        .map_err(|error| ProbeError::InvalidAnswer(error.to_string()))?;
     serde_json::from_slice(&body.to_bytes())
-        .map_err(|error| ProbeError::Nonsense(error.to_string()))
+        .map_err(|error| ProbeError::InvalidAnswer(error.to_string()))
 }
--- a/crates/upstream/src/rest.rs
+++ b/crates/upstream/src/rest.rs
@@ -8,7 +8,7 @@
 
 /// The longest rest that a refusal asks for (RFC 9110, 10.2.3); none where it asks for none.
 /// Other answers carry that header for callers.
-pub fn rest_asked(status: StatusCode, headers: &HeaderMap) -> Option<RequestedRest> {
+pub fn requested_rest(status: StatusCode, headers: &HeaderMap) -> Option<RequestedRest> {
     let refuses = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
--- a/src/commands/gateway.rs
+++ b/src/commands/gateway.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use gateway::{GatewayHost, GatewaySettings};
-use platform::{PATH_VARIABLE, PlatformDialect, PlatformStore, parse_settings};
+use platform::{PATH_VARIABLE, PlatformStore, PlatformWireFormat, parse_settings};
 
 use super::outcome::{BAD_INPUT, Outcome, UNAVAILABLE};
 use super::signals::{ReloadTrigger, wait_for_stop};
@@ -38,7 +38,7 @@
     let records = Box::new(move || Box::new(PlatformStore::new(store)) as _);
     let host = match GatewayHost::start(
         settings,
-        Arc::new(PlatformDialect),
+        Arc::new(PlatformWireFormat),
         records,
         metrics_text::render,
     ) {
--- a/src/host/control.rs
+++ b/src/host/control.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use ::caller::{LoadObservation, SharedState};
-use peer::{Local, PeerClient, PeerServer};
+use peer::{LocalHost, PeerClient, PeerServer};
 use steering::history::History;
 use steering::ids::Incarnation;
 use steering::limiter::LOAN_LAPSE;
@@ -58,7 +58,7 @@
     pub incarnation: Incarnation,
     pub state: RefCell<State>,
     /// Identity of this host, shared by its connections to other hosts.
-    pub local: Local,
+    pub local: LocalHost,
     clients: RefCell<HashMap<SocketAddr, Rc<PeerClient>>>,
     pub observations: Receiver<LoadObservation>,
     ready: watch::Sender<bool>,
@@ -82,7 +82,7 @@
         let mut commands = parts.commands;
         let now = clock::now();
         let membership = Membership::new(parts.me.entry.clone(), parts.incarnation, now);
-        let local = Local {
+        let local = LocalHost {
             host: parts.me.entry.clone(),
             incarnation: parts.incarnation,
             key: parts.config.peer_key.as_bytes().into(),
--- a/src/host/gossip.rs
+++ b/src/host/gossip.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use peer::{Beat, Exchange, ExchangeReply};
+use peer::{Exchange, ExchangeReply, HeartbeatMessage};
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
 use steering::ids::ZoneName;
@@ -51,7 +51,7 @@
         let lenders = self.shared.ledger().lenders(now);
         let beat = {
             let mut state = self.state.borrow_mut();
-            Rc::new(Beat {
+            Rc::new(HeartbeatMessage {
                 heartbeat: state.membership.heartbeat(now, lenders),
                 revision: state.history.revision(),
                 loads,
@@ -66,7 +66,7 @@
         }
     }
 
-    async fn send_heartbeat(self: Rc<Self>, address: SocketAddr, beat: Rc<Beat>) {
+    async fn send_heartbeat(self: Rc<Self>, address: SocketAddr, beat: Rc<HeartbeatMessage>) {
         let client = self.client(address);
         match client.heartbeat(&beat).await {
             Ok(theirs) => {
--- a/src/host/handler.rs
+++ b/src/host/handler.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use peer::{Beat, Exchange, ExchangeReply, PeerHandler};
+use peer::{Exchange, ExchangeReply, HeartbeatMessage, PeerHandler};
 use steering::history::{Entry, HistoryError, Position};
 use steering::ids::{HostName, Revision};
 use steering::limiter::{LimitKey, LoanGrant, LoanRequest};
@@ -15,7 +15,7 @@
 pub struct Handler(pub Rc<Control>);
 
 impl PeerHandler for Handler {
-    fn heartbeat(&self, beat: Beat) -> Revision {
+    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision {
         let host = beat.heartbeat.host.clone();
         let accepted = self
             .0
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -181,7 +181,7 @@
     };
     let host = gateway::GatewayHost::start(
         settings,
-        std::sync::Arc::new(platform::PlatformDialect),
+        std::sync::Arc::new(platform::PlatformWireFormat),
         Box::new(move || Box::new(platform::PlatformStore::new(store_address)) as _),
         String::new,
     );
