--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that calls another host.
+//! Client for calls to another host.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -21,33 +21,33 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
 use crate::codec::{
-    read_grant, read_json, read_position, read_records, read_summaries, write_beat, write_host,
-    write_json, write_position, write_records, write_request, write_summaries,
+    read_grant, read_json, read_position, read_records, read_summaries, write_heartbeat,
+    write_host, write_json, write_position, write_records, write_request, write_summaries,
 };
 use crate::messages::{
     EncodedUpdate, Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, StateQuery,
 };
 use crate::peer_capnp::{PROTOCOL_VERSION, gate, session};
-use crate::traffic::{Counted, PeerTraffic};
+use crate::traffic::{ByteCounter, PeerTraffic};
 use crate::transit::ReplyTimes;
-use crate::{ENTRIES_LIMIT, before, millis, reader_options, tag};
+use crate::{ENTRIES_LIMIT, age_ms, instant_before, reader_options, session_tag};
 
-/// Why a call brought nothing.
+/// Why a call to another host failed.
 #[derive(Debug, Display, Error, From)]
 pub enum PeerError {
-    /// The host can't be reached.
+    /// The connection could not be opened.
     #[display("{_0}")]
     Connect(std::io::Error),
-    /// The host answered with an error, or with nonsense.
+    /// The host returned an error, or the answer was invalid.
     #[display("{_0}")]
     Call(capnp::Error),
-    /// No answer came in time.
+    /// No answer arrived before the deadline.
     #[display("no answer in time")]
     #[from(skip)]
     Timeout,
 }
 
-/// An open session; closed when dropped.
+/// An open session; the connection is closed on drop.
 struct Connection {
     session: session::Client,
     replies: RefCell<ReplyTimes>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Calls one other host. It connects when needed, and again after an error.
+/// Client of one other host. Connects on the first call, and again after an error.
 pub struct PeerClient {
     address: SocketAddr,
     local: LocalHost,
@@ -69,7 +69,7 @@
 }
 
 impl PeerClient {
-    /// A client of the host at `address`; every call ends within `deadline`.
+    /// Creates a client of the host at `address`; `deadline` limits the time of every call.
     pub fn new(address: SocketAddr, local: LocalHost, deadline: Duration) -> Self {
         PeerClient {
             address,
@@ -84,18 +84,18 @@
         self.address
     }
 
-    /// Sends a heartbeat; the revision in force at the other host.
-    pub async fn heartbeat(&self, beat: &HeartbeatMessage) -> Result<Revision, PeerError> {
+    /// Sends a heartbeat; returns the configuration revision in force on the other host.
+    pub async fn heartbeat(&self, message: &HeartbeatMessage) -> Result<Revision, PeerError> {
         self.call(async |session| {
             let mut request = session.heartbeat_request();
-            write_beat(request.get().init_beat(), beat);
+            write_heartbeat(request.get().init_beat(), message);
             let answer = request.send().promise.await?;
             Ok(answer.get()?.get_revision())
         })
         .await
     }
 
-    /// Exchanges configuration and summaries.
+    /// Exchanges configuration entries and zone summaries.
     pub async fn exchange(&self, exchange: &Exchange) -> Result<ExchangeReply, PeerError> {
         self.call(async |session| {
             let mut request = session.exchange_request();
@@ -122,7 +122,7 @@
         .await
     }
 
-    /// Sends an accepted change.
+    /// Sends an accepted change; returns the position of the other host after it.
     pub async fn push(&self, entry: &Entry) -> Result<Position, PeerError> {
         self.call(async |session| {
             let mut request = session.push_request();
@@ -133,30 +133,31 @@
         .await
     }
 
-    /// Passes on a part of a feed. News of one feed are sent one after the other: the
-    /// receiver bounds the time of each message by the reply to the one before.
-    pub async fn send_update(&self, news: &EncodedUpdate) -> Result<(), PeerError> {
+    /// Sends an update of a feed. The caller must send updates of one feed one after the other,
+    /// since the receiver computes the maximum transit time of each message from the reply to
+    /// the previous one.
+    pub async fn send_update(&self, update: &EncodedUpdate) -> Result<(), PeerError> {
         self.call_on(async |connection| {
             let mut request = connection.session.news_request();
             let now = clock::now();
-            let since_reply = connection.replies.borrow().since_last(news.feed, now);
+            let since_reply = connection.replies.borrow().since_last(update.feed, now);
             let mut params = request.get();
-            params.set_age_ms(millis(now.saturating_duration_since(news.as_of)));
+            params.set_age_ms(age_ms(now.saturating_duration_since(update.as_of)));
             params.set_since_reply_ms(since_reply.as_millis() as u32);
-            params.set_feed(&write_json(&news.feed));
-            params.set_version(news.version);
-            params.set_digest(news.digest);
-            params.set_records(&news.records);
-            params.set_store(&write_json(&news.store(now)));
+            params.set_feed(&write_json(&update.feed));
+            params.set_version(update.version);
+            params.set_digest(update.digest);
+            params.set_records(&update.records);
+            params.set_store(&write_json(&update.store_uptime(now)));
             request.send().promise.await?;
             let mut replies = connection.replies.borrow_mut();
-            replies.record(news.feed, clock::now());
+            replies.record(update.feed, clock::now());
             Ok(())
         })
         .await
     }
 
-    /// Asks for a part of a limit, or gives it back.
+    /// Requests a loan of a limit, or returns one.
     pub async fn borrow(
         &self,
         limit: &LimitKey,
@@ -176,12 +177,12 @@
         .await
     }
 
-    /// Asks or tells what hosts keep together.
-    pub async fn send_message(&self, ask: &HostMessage) -> Result<HostReply, PeerError> {
+    /// Sends a message about state that hosts share; returns the reply.
+    pub async fn send_message(&self, message: &HostMessage) -> Result<HostReply, PeerError> {
         self.call(async |session| {
             let mut request = session.tokens_request();
-            let ask = write_records(ask, usize::MAX).expect("questions can be written");
-            request.get().set_ask(&ask);
+            let message = write_records(message, usize::MAX).expect("messages can be encoded");
+            request.get().set_ask(&message);
             let answer = request.send().promise.await?;
             read_records(answer.get()?.get_reply()?)
         })
@@ -207,7 +208,7 @@
         let result = timeout(self.deadline, call).await;
         let result = result.unwrap_or(Err(PeerError::Timeout));
         if result.is_err() {
-            // The next call starts anew: what comes late is not heard any more.
+            // The next call opens a new connection; a late answer on this one is dropped.
             self.connection.take();
         }
         result
@@ -232,7 +233,7 @@
             key,
             ..
         } = &self.local;
-        let tag = tag(key, nonce, &host.name, *incarnation);
+        let tag = session_tag(key, nonce, &host.name, *incarnation);
         let mut request = gate.open_request();
         write_host(request.get().init_host(), host, true);
         request.get().set_incarnation(*incarnation);
@@ -241,7 +242,7 @@
         let replies = RefCell::new(ReplyTimes::new(clock::now()));
         let opened = request.send().promise.await?;
         let session = opened.get()?.get_session()?;
-        let task = task.0.take().expect("it is taken only here");
+        let task = task.0.take().expect("the task is taken only here");
         Ok(Connection {
             session,
             replies,
@@ -250,18 +251,18 @@
     }
 }
 
-/// Asks a host what it has taken from a feed, without the shared key; none where it can't
-/// tell.
+/// Fetches the records that a host has applied from a feed; the shared key is not needed.
+/// Returns none if the host can't answer the query.
 ///
 /// # Errors
 ///
-/// The host can't be reached, or does not answer within `deadline`.
+/// Fails if the host can't be reached, or does not answer within `deadline`.
 pub async fn fetch_feed_state(
     address: SocketAddr,
     query: StateQuery,
     deadline: Duration,
 ) -> Result<Option<FeedState>, PeerError> {
-    let begun = clock::now();
+    let started = clock::now();
     let call = async {
         let (gate, _task) = open_gate(address, &Rc::default()).await?;
         let mut request = gate.state_request();
@@ -278,7 +279,7 @@
             records,
             version,
         };
-        let as_of = before(begun, Duration::from_millis(answer.get_age_ms().into()));
+        let as_of = instant_before(started, Duration::from_millis(answer.get_age_ms().into()));
         Ok(Some(FeedState { changes, as_of }))
     };
     timeout(deadline, call)
@@ -286,7 +287,7 @@
         .unwrap_or(Err(PeerError::Timeout))
 }
 
-/// Connects to a host that does not know yet who calls.
+/// Connects to a host, without a session.
 async fn open_gate(
     address: SocketAddr,
     traffic: &Rc<PeerTraffic>,
@@ -294,19 +295,19 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.compat().split();
-    let reader = Counted::new(reader, traffic);
-    let writer = Counted::new(writer, traffic);
+    let reader = ByteCounter::new(reader, traffic);
+    let writer = ByteCounter::new(writer, traffic);
     let network = twoparty::VatNetwork::new(reader, writer, Side::Client, reader_options());
     let mut system = RpcSystem::new(Box::new(network), None);
     let gate: gate::Client = system.bootstrap(Side::Server);
     let task = spawn_local(async move {
-        // Its error reaches whoever waits for an answer.
+        // The calls that wait for an answer get the error.
         let _ = system.await;
     });
     Ok((gate, AbortOnDrop(Some(task.abort_handle()))))
 }
 
-/// Ends a task where connecting is given up.
+/// Aborts a task on drop, if the connection attempt is cancelled.
 struct AbortOnDrop(Option<AbortHandle>);
 
 impl Drop for AbortOnDrop {
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Between capnp messages and the types of `steering`.
+//! Converts between capnp messages and the types of `steering`.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -15,14 +15,14 @@
 
 use crate::messages::HeartbeatMessage;
 use crate::names::{ServiceNames, service_id};
-use crate::{LIST_LIMIT, peer_capnp as wire};
+use crate::{MAX_LIST_LENGTH, peer_capnp as wire};
 
-/// Addresses that a host has.
-const ADDRESSES: usize = 4;
+/// Number of addresses of a host.
+const ADDRESS_COUNT: usize = 4;
 
-/// Refuses a list that is longer than any host sends.
-fn bounded(length: u32, what: &str) -> Result<(), Error> {
-    match length > LIST_LIMIT {
+/// Rejects a list that is longer than any host sends.
+fn check_length(length: u32, what: &str) -> Result<(), Error> {
+    match length > MAX_LIST_LENGTH {
         true => Err(Error::failed(format!("{length} {what} in one message"))),
         false => Ok(()),
     }
@@ -32,8 +32,8 @@
     Ok(reader.to_str()?.to_owned())
 }
 
-/// Addresses of a host, in the schema's order.
-fn addresses(host: &HostEntry) -> [SocketAddr; ADDRESSES] {
+/// Returns the addresses of a host, in the order of the schema.
+fn addresses(host: &HostEntry) -> [SocketAddr; ADDRESS_COUNT] {
     [
         host.caller_address,
         host.relay_address,
@@ -42,7 +42,7 @@
     ]
 }
 
-/// Writes a host; its zone only where the message does not say it elsewhere.
+/// Writes a host. The zone is omitted if another field of the message contains it.
 pub fn write_host(mut to: wire::host::Builder<'_>, host: &HostEntry, with_zone: bool) {
     let addresses = addresses(host);
     let v4 = |address: SocketAddr| match address.ip() {
@@ -63,7 +63,7 @@
     to.set_operator_v4(v4(operator));
     to.set_operator_port(operator.port());
     if addresses.iter().any(SocketAddr::is_ipv6) {
-        let mut v6 = to.init_v6(ADDRESSES as u32);
+        let mut v6 = to.init_v6(ADDRESS_COUNT as u32);
         for (i, address) in addresses.iter().enumerate() {
             let ip = match address.ip() {
                 IpAddr::V4(ip) => ip.to_ipv6_mapped(),
@@ -74,14 +74,14 @@
     }
 }
 
-/// Reads a host of `zone`; none where the message names it.
+/// Reads a host of `zone`; if `zone` is none, the message contains the zone.
 pub fn read_host(from: wire::host::Reader<'_>, zone: Option<&str>) -> Result<HostEntry, Error> {
     let v6 = from.get_v6()?;
     let ip = |number: usize, v4: u32| -> Result<IpAddr, Error> {
         if v6.is_empty() {
             return Ok(Ipv4Addr::from_bits(v4).into());
         }
-        if v6.len() != ADDRESSES as u32 {
+        if v6.len() != ADDRESS_COUNT as u32 {
             return Err(Error::failed(format!("{} addresses of a host", v6.len())));
         }
         let octets = <[u8; 16]>::try_from(v6.get(number as u32)?);
@@ -128,12 +128,12 @@
     }
 }
 
-/// Reads loads; those of services that are not known here are left out.
+/// Reads loads; loads of services unknown to this host are skipped.
 fn read_loads(
     from: capnp::struct_list::Reader<'_, wire::load::Owned>,
     names: &ServiceNames,
 ) -> Result<Vec<ServiceLoad>, Error> {
-    bounded(from.len(), "loads")?;
+    check_length(from.len(), "loads")?;
     let mut loads = Vec::with_capacity(from.len() as usize);
     for load in from.iter() {
         let latency_ms = f64::from(load.get_latency_ms());
@@ -153,30 +153,30 @@
     Ok(loads)
 }
 
-pub fn write_beat(mut to: wire::heartbeat::Builder<'_>, beat: &HeartbeatMessage) {
-    let heartbeat = &beat.heartbeat;
+pub fn write_heartbeat(mut to: wire::heartbeat::Builder<'_>, message: &HeartbeatMessage) {
+    let heartbeat = &message.heartbeat;
     to.set_sequence(heartbeat.sequence);
-    to.set_revision(beat.revision);
+    to.set_revision(message.revision);
     to.set_leaving(heartbeat.leaving);
-    // A list that is left out takes no room.
+    // An empty list is not written, since it would take up space in the message.
     if !heartbeat.suspected_hosts.is_empty() {
-        let doubts = to
+        let suspected = to
             .reborrow()
             .init_doubts(heartbeat.suspected_hosts.len() as u32);
-        write_texts(doubts, heartbeat.suspected_hosts.iter());
+        write_texts(suspected, heartbeat.suspected_hosts.iter());
     }
     if !heartbeat.confirmed_hosts.is_empty() {
-        let vouches = to
+        let confirmed = to
             .reborrow()
             .init_vouches(heartbeat.confirmed_hosts.len() as u32);
-        write_texts(vouches, heartbeat.confirmed_hosts.iter());
+        write_texts(confirmed, heartbeat.confirmed_hosts.iter());
     }
     if !heartbeat.lenders.is_empty() {
         let lenders = to.reborrow().init_lenders(heartbeat.lenders.len() as u32);
         write_texts(lenders, heartbeat.lenders.iter());
     }
-    if !beat.loads.is_empty() {
-        write_loads(to.init_loads(beat.loads.len() as u32), &beat.loads);
+    if !message.loads.is_empty() {
+        write_loads(to.init_loads(message.loads.len() as u32), &message.loads);
     }
 }
 
@@ -187,12 +187,12 @@
 }
 
 fn read_texts(from: text_list::Reader<'_>) -> Result<BTreeSet<String>, Error> {
-    bounded(from.len(), "names")?;
+    check_length(from.len(), "names")?;
     from.iter().map(|name| text(name?)).collect()
 }
 
-/// Reads a heartbeat of the host and start that the session was opened for.
-pub fn read_beat(
+/// Reads a heartbeat; the sender is the host and incarnation that opened the session.
+pub fn read_heartbeat(
     from: wire::heartbeat::Reader<'_>,
     host: &HostEntry,
     incarnation: Incarnation,
@@ -240,7 +240,7 @@
     from: capnp::struct_list::Reader<'_, wire::summary::Owned>,
     names: &ServiceNames,
 ) -> Result<Vec<ZoneSummary>, Error> {
-    bounded(from.len(), "summaries")?;
+    check_length(from.len(), "summaries")?;
     from.iter()
         .map(|summary| read_summary(summary, names))
         .collect()
@@ -297,46 +297,47 @@
     }
 }
 
-/// Reads a value that travels as JSON, as it is stored.
+/// Decodes a value that is sent as JSON, in the same format as in the store.
 pub fn read_json<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(bytes).map_err(|error| Error::failed(error.to_string()))
 }
 
-/// Writes a value that travels as JSON.
+/// Encodes a value as JSON.
 pub fn write_json<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    serde_json::to_vec(value).expect("what travels is valid JSON")
+    serde_json::to_vec(value).expect("messages are valid JSON")
 }
 
-/// Reads records of a feed.
+/// Decodes records of a feed, or another value in the postcard format.
 pub fn read_records<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     postcard::from_bytes(bytes).map_err(|error| Error::failed(error.to_string()))
 }
 
-/// Writes records of a feed, where they take at most so many bytes; a third of what they
-/// take as JSON. What is too large is not written to its end: a host that starts has
-/// thousands of reports, and tells none of them.
-pub fn write_records<T: serde::Serialize>(value: &T, most_bytes: usize) -> Option<Vec<u8>> {
-    let writer = Within {
+/// Encodes records of a feed in the postcard format, which takes a third of the bytes of JSON.
+///
+/// Returns none if the encoded records take more than `max_bytes`. Encoding stops at that size,
+/// since a host that starts has thousands of reports and sends none of them.
+pub fn write_records<T: serde::Serialize>(value: &T, max_bytes: usize) -> Option<Vec<u8>> {
+    let writer = BoundedWriter {
         bytes: Vec::new(),
-        most_bytes,
+        max_bytes,
     };
     let written = postcard::to_io(value, writer).ok()?;
     Some(written.bytes)
 }
 
-/// Refuses what goes beyond its bound.
-struct Within {
+/// A buffer that rejects writes beyond `max_bytes`.
+struct BoundedWriter {
     bytes: Vec<u8>,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
-impl io::Write for Within {
-    fn write(&mut self, part: &[u8]) -> io::Result<usize> {
-        if self.bytes.len() + part.len() > self.most_bytes {
+impl io::Write for BoundedWriter {
+    fn write(&mut self, chunk: &[u8]) -> io::Result<usize> {
+        if self.bytes.len() + chunk.len() > self.max_bytes {
             return Err(io::ErrorKind::FileTooLarge.into());
         }
-        self.bytes.extend_from_slice(part);
-        Ok(part.len())
+        self.bytes.extend_from_slice(chunk);
+        Ok(chunk.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between hosts over capnp-rpc.
 //!
-//! A caller proves the deployment's shared key before it gets a session. Every
-//! call has a deadline, every message a bound, and a peer that speaks nonsense
-//! is answered with an error and changes nothing.
+//! A connecting host proves that it has the deployment's shared key before it gets a session.
+//! Every call has a deadline and every message a maximum size. An invalid message is answered
+//! with an error and changes nothing.
 
 mod client;
 mod codec;
@@ -39,33 +39,33 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Largest message, in words of 8 bytes: a snapshot of 1.7 million blocks fits.
-const MESSAGE_LIMIT_WORDS: usize = 64 << 20;
-/// Most entries in one answer.
+/// Maximum size of a message, in words of 8 bytes; enough for a snapshot of 1.7 million blocks.
+const MAX_MESSAGE_WORDS: usize = 64 << 20;
+/// Maximum number of history entries in one answer.
 pub const ENTRIES_LIMIT: usize = 128;
-/// Most loads, summaries or doubts in one message.
-const LIST_LIMIT: u32 = 16_384;
-const NESTING_LIMIT: i32 = 16;
+/// Maximum length of each list of loads, summaries or host names in a message.
+const MAX_LIST_LENGTH: u32 = 16_384;
+const MAX_NESTING: i32 = 16;
 const NONCE_BYTES: usize = 32;
 
 fn reader_options() -> ReaderOptions {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MESSAGE_LIMIT_WORDS));
-    options.nesting_limit(NESTING_LIMIT);
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
+    options.nesting_limit(MAX_NESTING);
     options
 }
 
-/// An age in whole milliseconds, rounded up; more than 49 days are told as that.
-fn millis(age: Duration) -> u32 {
+/// Converts an age to whole milliseconds, rounded up; at most `u32::MAX`, about 49 days.
+fn age_ms(age: Duration) -> u32 {
     age.as_micros()
         .div_ceil(1_000)
         .try_into()
         .unwrap_or(u32::MAX)
 }
 
-/// The moment so long before another; the earliest that the clock knows where it reaches no
-/// further back.
-fn before(now: Instant, age: Duration) -> Instant {
+/// Returns the instant `age` before `now`. If the clock can't represent an instant that early,
+/// halves `age` until it can.
+fn instant_before(now: Instant, age: Duration) -> Instant {
     let mut age = age;
     loop {
         match now.checked_sub(age) {
@@ -75,9 +75,9 @@
     }
 }
 
-/// The proof that a caller holds the shared key.
-fn tag(key: &[u8], nonce: &[u8], host: &str, incarnation: u64) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any key length is taken");
+/// Returns the HMAC by which a connecting host proves that it has the shared key.
+fn session_tag(key: &[u8], nonce: &[u8], host: &str, incarnation: u64) -> Hmac<Sha256> {
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(&(nonce.len() as u64).to_be_bytes());
     mac.update(nonce);
     mac.update(&incarnation.to_be_bytes());
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other.
+//! Messages that hosts send each other.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,123 +14,124 @@
 use crate::names::ServiceNames;
 use crate::traffic::PeerTraffic;
 
-/// This host, as all its connections to others share it.
+/// Data about this host that all its connections to other hosts share.
 #[derive(Debug, Clone)]
 pub struct LocalHost {
-    /// Where it can be reached.
+    /// Name, zone and addresses of this host.
     pub host: HostEntry,
-    /// Its start.
+    /// Incarnation of this host: one run of its process.
     pub incarnation: Incarnation,
-    /// Key that the deployment's hosts share.
+    /// Secret key shared by all hosts of the deployment.
     pub key: Rc<[u8]>,
-    /// Services that it knows.
+    /// Services known to this host.
     pub names: Rc<ServiceNames>,
-    /// Bytes to and from other hosts.
+    /// Counters of bytes sent to and received from other hosts.
     pub traffic: Rc<PeerTraffic>,
 }
 
-/// A heartbeat with what rides on it.
+/// A heartbeat with the data sent along with it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeartbeatMessage {
-    /// The heartbeat.
+    /// Liveness of the sender and its view of other hosts.
     pub heartbeat: Heartbeat,
-    /// Revision in force at the sender.
+    /// Configuration revision in force on the sender.
     pub revision: Revision,
-    /// Load of the pools that the sender owns, summed by service.
+    /// Load of the sender's own pools, summed by service.
     pub loads: Vec<ServiceLoad>,
 }
 
 impl HeartbeatMessage {
-    /// Size of the message that carries it, in bytes.
+    /// Returns the size of the encoded message, in bytes.
     pub fn wire_bytes(&self) -> usize {
         let mut message = capnp::message::Builder::new_default();
-        crate::codec::write_beat(message.init_root(), self);
+        crate::codec::write_heartbeat(message.init_root(), self);
         capnp::serialize::compute_serialized_size_in_words(&message) * 8
     }
 }
 
-/// An exchange of configuration and summaries.
+/// Request to exchange configuration entries and zone summaries.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Exchange {
-    /// Where the sender stands.
+    /// Configuration revision of the sender.
     pub position: Position,
-    /// What it knows of zones.
+    /// Zone summaries known to the sender.
     pub summaries: Vec<ZoneSummary>,
 }
 
 /// The answer to an exchange.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ExchangeReply {
-    /// Where the answerer stands.
+    /// Configuration revision of the responder.
     pub position: Position,
-    /// Entries that the sender lacks, in order.
+    /// Entries that the sender of the request lacks, by ascending revision.
     pub entries: Vec<Entry>,
-    /// A whole document, where the entries are no longer held.
+    /// The whole document, if the responder no longer has the entries.
     pub snapshot: Option<Snapshot>,
-    /// What the answerer knows of zones.
+    /// Zone summaries known to the responder.
     pub summaries: Vec<ZoneSummary>,
 }
 
-/// A part of a feed, encoded once for all who are told.
+/// A feed update, encoded once for all receivers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EncodedUpdate {
     pub(crate) feed: Feed,
     pub(crate) version: FeedVersion,
     pub(crate) digest: FeedDigest,
     pub(crate) records: Vec<u8>,
-    /// When the store's answer was true; its age is told when the message is sent.
+    /// Instant at which the store's answer was valid; its age is computed when the message is sent.
     pub(crate) as_of: Instant,
-    store: StoreUptime,
-    /// When `store` was so.
-    made: Instant,
+    store_uptime: StoreUptime,
+    /// Instant at which `store_uptime` was measured.
+    encoded_at: Instant,
 }
 
 impl EncodedUpdate {
-    /// Encodes news that were so at `made`. Where the records take more than `most_bytes`
-    /// they are left out: whoever lacks them sees it by the digest, and asks for them.
-    pub fn new(news: &FeedUpdate, most_bytes: usize, made: Instant) -> Self {
-        let none = || write_records(&Vec::<Record>::new(), usize::MAX);
-        let records = write_records(&news.records, most_bytes).or_else(none);
+    /// Encodes an update whose store uptime was measured at `encoded_at`.
+    ///
+    /// Records that take more than `max_bytes` are omitted. A receiver that lacks them detects
+    /// this by the digest and requests them.
+    pub fn new(update: &FeedUpdate, max_bytes: usize, encoded_at: Instant) -> Self {
+        let empty = || write_records(&Vec::<Record>::new(), usize::MAX);
+        let records = write_records(&update.records, max_bytes).or_else(empty);
         EncodedUpdate {
-            feed: news.feed,
-            version: news.version,
-            digest: news.digest,
-            records: records.expect("records can be written"),
-            as_of: news.as_of,
-            store: news.store_uptime,
-            made,
+            feed: update.feed,
+            version: update.version,
+            digest: update.digest,
+            records: records.expect("records can be encoded"),
+            as_of: update.as_of,
+            store_uptime: update.store_uptime,
+            encoded_at,
         }
     }
 
-    /// Since when the store has answered, as it is told at `now`.
-    pub(crate) fn store(&self, now: Instant) -> StoreUptime {
-        let waited = now.saturating_duration_since(self.made);
+    /// Returns the store uptime including the time since the update was encoded.
+    pub(crate) fn store_uptime(&self, now: Instant) -> StoreUptime {
+        let waited = now.saturating_duration_since(self.encoded_at);
         StoreUptime {
-            answering_for: self.store.answering_for + waited,
-            ..self.store
+            answering_for: self.store_uptime.answering_for + waited,
+            ..self.store_uptime
         }
     }
 }
 
-/// What a host has taken from a feed of the store.
+/// The records that a host has applied from a feed of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FeedState {
-    /// All of it, or what it took since a version.
+    /// All records, or those applied after a version.
     pub changes: Changes,
-    /// When the store's answer on which it rests was true, by the own clock; never later than
-    /// that.
+    /// Instant, by this host's clock, at which the underlying answer of the store was valid. May
+    /// be too early, never too late.
     pub as_of: Instant,
 }
 
-/// Asks a host what it has taken from a feed of the store.
+/// Query for the records that a host has applied from a feed of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateQuery {
-    /// The feed.
+    /// The queried feed.
     pub feed: Feed,
-    /// Version that is known already; all is wanted where none is.
+    /// Latest version known to the sender; none requests all records.
     pub after: Option<FeedVersion>,
-    /// Time since the store was last heard beyond which an answer is of no use; none where
-    /// any answer is better than none.
+    /// Maximum age of the underlying answer of the store; none accepts any age.
     #[serde(rename = "most_age")]
     pub max_age: Option<Duration>,
 }
--- a/crates/peer/src/names.rs
+++ b/crates/peer/src/names.rs
@@ -1,4 +1,4 @@
-//! Services by the hash of their name, as loads travel.
+//! Lookup of services by the hash of their name, which load messages contain instead of the name.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,23 +9,23 @@
 /// Hash of a service's name, the same on every host.
 pub type ServiceId = u64;
 
-/// The hash of a service's name.
+/// Returns the hash of a service's name.
 pub fn service_id(name: &str) -> ServiceId {
     rendezvous::hash(name.as_bytes())
 }
 
-/// The services that this host knows; the control thread keeps them up to date.
+/// The services known to this host; updated by the control thread.
 #[derive(Debug, Default)]
 pub struct ServiceNames(RefCell<HashMap<ServiceId, ServiceName>>);
 
 impl ServiceNames {
-    /// Knows these services from now on, and no others.
+    /// Replaces all known services.
     pub fn set<'a>(&self, names: impl Iterator<Item = &'a ServiceName>) {
         let known = names.map(|name| (service_id(name), name.clone()));
         self.0.replace(known.collect());
     }
 
-    /// The service with this hash; none where it is not known here.
+    /// Returns the service with the hash `id`; none if this host does not know the service.
     pub fn find(&self, id: ServiceId) -> Option<ServiceName> {
         self.0.borrow().get(&id).cloned()
     }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that other hosts call.
+//! Server for calls of other hosts.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -21,57 +21,58 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
 use crate::codec::{
-    read_beat, read_host, read_json, read_position, read_records, read_request, read_summaries,
-    write_grant, write_json, write_position, write_records, write_summaries,
+    read_heartbeat, read_host, read_json, read_position, read_records, read_request,
+    read_summaries, write_grant, write_json, write_position, write_records, write_summaries,
 };
 use crate::messages::{
     Exchange, ExchangeReply, FeedState, HeartbeatMessage, LocalHost, StateQuery,
 };
 use crate::names::ServiceNames;
 use crate::peer_capnp::{PROTOCOL_VERSION, gate, session};
-use crate::traffic::Counted;
+use crate::traffic::ByteCounter;
 use crate::transit::ReceiptTimes;
-use crate::{NONCE_BYTES, before, millis, reader_options, tag};
+use crate::{NONCE_BYTES, age_ms, instant_before, reader_options, session_tag};
 
-const CONNECTIONS_LIMIT: usize = 512;
-/// Largest answer with what has changed since a version, in bytes. Hosts with links of
-/// 10 Mbit/s send some thirty of them at once, and changes must be heeded within seconds;
-/// who lacks more asks the store. So much takes 0.8 s there for all.
-const CHANGES_MOST_BYTES: usize = 32 << 10;
-/// Largest answer with all that a feed says, in bytes; reports of 12,000 upstreams take
-/// some 700 KB.
-const STATE_MOST_BYTES: usize = 2 << 20;
+const MAX_CONNECTIONS: usize = 512;
+/// Maximum size of an answer with the changes since a version, in bytes. A host with a link of
+/// 10 Mbit/s sends about thirty such answers at once, which takes 0.8 s at this size, and changes
+/// must take effect within seconds. A host that lacks more than this reads the store.
+const MAX_CHANGES_BYTES: usize = 32 << 10;
+/// Maximum size of an answer with all records of a feed, in bytes; reports of 12,000 upstreams
+/// take about 700 KB.
+const MAX_STATE_BYTES: usize = 2 << 20;
 
-/// What a host does with messages of other hosts; each call must be short.
+/// Handles messages of other hosts; calls must not block, since they run on the server's thread.
 pub trait PeerHandler {
-    /// Takes a heartbeat.
-    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision;
-    /// Takes and gives configuration and summaries.
+    /// Processes a heartbeat; returns the configuration revision in force on this host.
+    fn heartbeat(&self, message: HeartbeatMessage) -> Revision;
+    /// Processes an exchange of configuration entries and zone summaries.
     fn exchange(&self, from: &HostEntry, exchange: Exchange) -> ExchangeReply;
-    /// Takes an accepted change from another host.
+    /// Applies an accepted change from another host; returns this host's position after it.
     fn push(&self, from: &HostName, entry: Entry) -> Position;
-    /// Takes a part of a feed of the store. A host that serves no routes has no use
-    /// for it.
-    fn feed_update(&self, _from: &HostEntry, _incarnation: Incarnation, _news: FeedUpdate) {}
-    /// What this host has taken from a feed of the store; none where it can't tell.
+    /// Applies an update of a feed of the store. The default, for hosts that serve no routes,
+    /// ignores the update.
+    fn feed_update(&self, _from: &HostEntry, _incarnation: Incarnation, _update: FeedUpdate) {}
+    /// Returns the records that this host has applied from a feed of the store; none if the host
+    /// can't answer the query.
     fn state(&self, _query: StateQuery) -> Option<FeedState> {
         None
     }
-    /// Answers what is asked about things that hosts keep together. A host that serves no
-    /// routes keeps none.
+    /// Processes a message about state that hosts share. The default, for hosts that serve no
+    /// routes, answers that there is no such state.
     fn host_message(
         &self,
         _from: &HostEntry,
         _incarnation: Incarnation,
-        _ask: HostMessage,
+        _message: HostMessage,
     ) -> HostReply {
         HostReply::Tokens(TokenReply::NoPool)
     }
-    /// Lends a part of a limit.
+    /// Grants a loan of a limit; none if this host refuses.
     fn borrow(&self, limit: LimitKey, request: LoanRequest) -> Option<LoanGrant>;
 }
 
-/// Serves other hosts on a local task set.
+/// Serves other hosts on the current `LocalSet`.
 pub struct PeerServer {
     local: LocalHost,
     handler: Rc<dyn PeerHandler>,
@@ -79,7 +80,7 @@
 }
 
 impl PeerServer {
-    /// Serves hosts that hold the key.
+    /// Creates a server for hosts that have the shared key.
     pub fn new(local: LocalHost, handler: Rc<dyn PeerHandler>) -> Self {
         PeerServer {
             local,
@@ -88,11 +89,11 @@
         }
     }
 
-    /// Accepts connections until the task is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn run(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, peer)) if self.open.get() < CONNECTIONS_LIMIT => {
+                Ok((stream, peer)) if self.open.get() < MAX_CONNECTIONS => {
                     self.serve(stream, peer);
                 }
                 Ok((_, peer)) => tracing::warn!(event = "peer_refused", %peer, reason = "full"),
@@ -107,8 +108,8 @@
     fn serve(&self, stream: TcpStream, peer: SocketAddr) {
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.compat().split();
-        let reader = Counted::new(reader, &self.local.traffic);
-        let writer = Counted::new(writer, &self.local.traffic);
+        let reader = ByteCounter::new(reader, &self.local.traffic);
+        let writer = ByteCounter::new(writer, &self.local.traffic);
         let network = twoparty::VatNetwork::new(reader, writer, Side::Server, reader_options());
         let gate = GateServer {
             local: self.local.clone(),
@@ -131,7 +132,7 @@
 struct GateServer {
     local: LocalHost,
     handler: Rc<dyn PeerHandler>,
-    /// Of the last challenge, and when it was given; used once.
+    /// Nonce of the last challenge and the instant at which it was sent; valid for one use.
     nonce: RefCell<Option<([u8; NONCE_BYTES], Instant)>>,
 }
 
@@ -167,7 +168,7 @@
         let nonce = self.nonce.take();
         let (nonce, challenged) =
             nonce.ok_or_else(|| Error::failed("no challenge was asked for".to_owned()))?;
-        tag(&self.local.key, &nonce, &host.name, incarnation)
+        session_tag(&self.local.key, &nonce, &host.name, incarnation)
             .verify_slice(params.get_tag()?)
             .map_err(|_| {
                 tracing::warn!(
@@ -194,20 +195,20 @@
         mut results: gate::StateResults,
     ) -> Result<(), Error> {
         let query: StateQuery = read_json(params.get()?.get_query()?)?;
-        let most_bytes = match query.after {
-            Some(_) => CHANGES_MOST_BYTES,
-            None => STATE_MOST_BYTES,
+        let max_bytes = match query.after {
+            Some(_) => MAX_CHANGES_BYTES,
+            None => MAX_STATE_BYTES,
         };
         let Some(state) = self.handler.state(query) else {
             return Ok(());
         };
         let FeedState { changes, as_of } = state;
-        let written = write_records(&(changes.whole, &changes.records), most_bytes);
-        if let Some(records) = written {
+        let encoded = write_records(&(changes.whole, &changes.records), max_bytes);
+        if let Some(records) = encoded {
             let mut results = results.get();
             results.set_version(changes.version);
             results.set_records(&records);
-            results.set_age_ms(millis(clock::elapsed(as_of)));
+            results.set_age_ms(age_ms(clock::elapsed(as_of)));
         }
         Ok(())
     }
@@ -227,9 +228,9 @@
         params: session::HeartbeatParams,
         mut results: session::HeartbeatResults,
     ) -> Result<(), Error> {
-        let beat = params.get()?.get_beat()?;
-        let beat = read_beat(beat, &self.host, self.incarnation, &self.names)?;
-        results.get().set_revision(self.handler.heartbeat(beat));
+        let message = params.get()?.get_beat()?;
+        let message = read_heartbeat(message, &self.host, self.incarnation, &self.names)?;
+        results.get().set_revision(self.handler.heartbeat(message));
         Ok(())
     }
 
@@ -279,20 +280,21 @@
         let now = clock::now();
         let since_reply = Duration::from_millis(params.get_since_reply_ms().into());
         let mut receipts = self.receipts.borrow_mut();
-        let in_transit = receipts.max_transit_time(feed, now, since_reply);
+        let transit_time = receipts.max_transit_time(feed, now, since_reply);
         drop(receipts);
-        let age = Duration::from_millis(params.get_age_ms().into()) + in_transit;
-        let mut store: StoreUptime = read_json(params.get_store()?)?;
-        store.answering_for = store.answering_for.saturating_add(in_transit);
-        let news = FeedUpdate {
+        let age = Duration::from_millis(params.get_age_ms().into()) + transit_time;
+        let mut store_uptime: StoreUptime = read_json(params.get_store()?)?;
+        store_uptime.answering_for = store_uptime.answering_for.saturating_add(transit_time);
+        let update = FeedUpdate {
             feed,
             version: params.get_version(),
             digest: params.get_digest(),
             records: read_records(params.get_records()?)?,
-            store_uptime: store,
-            as_of: before(now, age),
+            store_uptime,
+            as_of: instant_before(now, age),
         };
-        self.handler.feed_update(&self.host, self.incarnation, news);
+        self.handler
+            .feed_update(&self.host, self.incarnation, update);
         Ok(())
     }
 
@@ -301,9 +303,11 @@
         params: session::TokensParams,
         mut results: session::TokensResults,
     ) -> Result<(), Error> {
-        let ask: HostMessage = read_records(params.get()?.get_ask()?)?;
-        let reply = self.handler.host_message(&self.host, self.incarnation, ask);
-        let reply = write_records(&reply, usize::MAX).expect("answers can be written");
+        let message: HostMessage = read_records(params.get()?.get_ask()?)?;
+        let reply = self
+            .handler
+            .host_message(&self.host, self.incarnation, message);
+        let reply = write_records(&reply, usize::MAX).expect("replies can be encoded");
         results.get().set_reply(&reply);
         Ok(())
     }
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes between this host and others, counted on their way.
+//! Counts the bytes exchanged with other hosts.
 
 use std::cell::Cell;
 use std::io;
@@ -8,7 +8,7 @@
 
 use futures::{AsyncRead, AsyncWrite};
 
-/// Bytes of messages since the start, transport headers not counted.
+/// Bytes of messages since the process started, without transport headers.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
     sent: Cell<u64>,
@@ -16,58 +16,58 @@
 }
 
 impl PeerTraffic {
-    /// Bytes sent to other hosts.
+    /// Total bytes sent to other hosts.
     pub fn sent_bytes(&self) -> u64 {
         self.sent.get()
     }
 
-    /// Bytes received from other hosts.
+    /// Total bytes received from other hosts.
     pub fn received_bytes(&self) -> u64 {
         self.received.get()
     }
 }
 
-/// A half of a connection whose bytes are counted.
-pub(crate) struct Counted<T> {
+/// One half of a connection; counts the bytes that pass through.
+pub(crate) struct ByteCounter<T> {
     half: T,
     traffic: Rc<PeerTraffic>,
 }
 
-impl<T> Counted<T> {
+impl<T> ByteCounter<T> {
     pub(crate) fn new(half: T, traffic: &Rc<PeerTraffic>) -> Self {
-        Counted {
+        ByteCounter {
             half,
             traffic: Rc::clone(traffic),
         }
     }
 }
 
-fn add(count: &Cell<u64>, polled: &Poll<io::Result<usize>>) {
+fn count_bytes(count: &Cell<u64>, polled: &Poll<io::Result<usize>>) {
     if let Poll::Ready(Ok(bytes)) = polled {
         count.set(count.get() + *bytes as u64);
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Counted<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for ByteCounter<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.half).poll_read(context, buffer);
-        add(&self.traffic.received, &read);
+        count_bytes(&self.traffic.received, &read);
         read
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Counted<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for ByteCounter<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.half).poll_write(context, buffer);
-        add(&self.traffic.sent, &written);
+        count_bytes(&self.traffic.sent, &written);
         written
     }
 
--- a/crates/peer/src/transit.rs
+++ b/crates/peer/src/transit.rs
@@ -1,25 +1,26 @@
-//! An upper bound on the time that a message was under way, without synchronized clocks.
+//! Computes an upper bound on the transit time of a message without synchronized clocks.
 //!
-//! A message is sent after its sender got the reply to the one before, and that reply was sent
-//! after the one before had come. So the time since then on the receiver's clock, less the time
-//! since the reply on the sender's, is at least the time that the message was under way. It
-//! exceeds that time by the way of one reply.
+//! The sender sends a message after it received the reply to the previous message, and the
+//! receiver sent that reply after it received the previous message. The time between the two
+//! messages on the receiver's clock, minus the time between reply and message on the sender's
+//! clock, is therefore at least the transit time of the message. The difference is the transit
+//! time of the reply.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use steering::route::Feed;
 
-/// The sender's side, for one session.
+/// When the sender received replies, for one session.
 #[derive(Debug)]
 pub struct ReplyTimes {
-    /// When the session was asked for, in reply to the receiver's challenge.
+    /// Instant at which the sender answered the receiver's challenge.
     opened: Instant,
     last: HashMap<Feed, Instant>,
 }
 
 impl ReplyTimes {
-    /// A session that was asked for at `opened`.
+    /// Creates the state of a session that was requested at `opened`.
     pub fn new(opened: Instant) -> Self {
         ReplyTimes {
             opened,
@@ -27,28 +28,28 @@
         }
     }
 
-    /// Notes the reply to a message.
+    /// Records that the reply to a message arrived at `now`.
     pub fn record(&mut self, feed: Feed, now: Instant) {
         self.last.insert(feed, now);
     }
 
-    /// Time since the last reply.
+    /// Returns the time since the last reply for `feed`, or since the session was requested.
     pub fn since_last(&self, feed: Feed, now: Instant) -> Duration {
         let last = self.last.get(&feed).unwrap_or(&self.opened);
         now.saturating_duration_since(*last)
     }
 }
 
-/// The receiver's side, for one session.
+/// When the receiver received messages, for one session.
 #[derive(Debug)]
 pub struct ReceiptTimes {
-    /// When the sender was given its challenge.
+    /// Instant at which the receiver sent the challenge.
     challenged: Instant,
     last: HashMap<Feed, Instant>,
 }
 
 impl ReceiptTimes {
-    /// A session whose sender was given its challenge at `challenged`.
+    /// Creates the state of a session whose challenge was sent at `challenged`.
     pub fn new(challenged: Instant) -> Self {
         ReceiptTimes {
             challenged,
@@ -56,16 +57,16 @@
         }
     }
 
-    /// Longest time that a message can have been under way that comes now, and whose sender
-    /// had the last reply `since_reply` before it sent it.
+    /// Returns the maximum transit time of a message that arrives at `now` and was sent
+    /// `since_reply` after its sender received the previous reply.
     pub fn max_transit_time(
         &mut self,
         feed: Feed,
         now: Instant,
         since_reply: Duration,
     ) -> Duration {
-        let before = self.last.insert(feed, now).unwrap_or(self.challenged);
-        now.saturating_duration_since(before)
+        let previous = self.last.insert(feed, now).unwrap_or(self.challenged);
+        now.saturating_duration_since(previous)
             .saturating_sub(since_reply)
     }
 }
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other arrives as it was sent, and nonsense changes nothing.
+//! Messages between hosts arrive unchanged, and invalid messages have no effect.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -23,21 +23,21 @@
 
 const DEADLINE: Duration = Duration::from_secs(10);
 const REVISION: Revision = 7;
-/// Time for which news wait before they are sent.
-const WAITED: Duration = Duration::from_secs(3);
+/// Age of an update when it is sent.
+const UPDATE_AGE: Duration = Duration::from_secs(3);
 
-/// Keeps what it is told, and tells all of it to whoever asks.
+/// Records all messages that it receives; replies to an exchange with the received summaries.
 #[derive(Default)]
-struct Keeper {
-    beats: RefCell<Vec<HeartbeatMessage>>,
+struct RecordingHandler {
+    heartbeats: RefCell<Vec<HeartbeatMessage>>,
     summaries: RefCell<Vec<ZoneSummary>>,
     from: RefCell<Option<HostEntry>>,
-    news: RefCell<Vec<FeedUpdate>>,
+    updates: RefCell<Vec<FeedUpdate>>,
 }
 
-impl PeerHandler for Keeper {
-    fn heartbeat(&self, beat: HeartbeatMessage) -> Revision {
-        self.beats.borrow_mut().push(beat);
+impl PeerHandler for RecordingHandler {
+    fn heartbeat(&self, message: HeartbeatMessage) -> Revision {
+        self.heartbeats.borrow_mut().push(message);
         REVISION
     }
 
@@ -55,8 +55,8 @@
         Position::default()
     }
 
-    fn feed_update(&self, _: &HostEntry, _: Incarnation, news: FeedUpdate) {
-        self.news.borrow_mut().push(news);
+    fn feed_update(&self, _: &HostEntry, _: Incarnation, update: FeedUpdate) {
+        self.updates.borrow_mut().push(update);
     }
 
     fn borrow(&self, _: LimitKey, _: LoanRequest) -> Option<LoanGrant> {
@@ -114,7 +114,7 @@
     }
 }
 
-fn beat(host: &HostEntry) -> HeartbeatMessage {
+fn heartbeat_message(host: &HostEntry) -> HeartbeatMessage {
     HeartbeatMessage {
         heartbeat: Heartbeat {
             host: host.clone(),
@@ -130,8 +130,8 @@
     }
 }
 
-/// Runs with a server that knows the service `known`, under the key `k`.
-fn with_server(test: impl AsyncFnOnce(SocketAddr, Rc<Keeper>)) {
+/// Runs `test` with a server that knows the service `known` and has the shared key `k`.
+fn with_server(test: impl AsyncFnOnce(SocketAddr, Rc<RecordingHandler>)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -139,11 +139,11 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let keeper = Rc::new(Keeper::default());
+        let recorder = Rc::new(RecordingHandler::default());
         let server = local(host([v4(1), v4(2), v4(3), v4(4)]), "k", &["known"]);
-        let handler = Rc::clone(&keeper);
+        let handler = Rc::clone(&recorder);
         spawn_local(PeerServer::new(server, handler).run(listener));
-        test(address, keeper).await;
+        test(address, recorder).await;
     });
 }
 
@@ -152,14 +152,17 @@
 #[case::v6([v6(1), v6(2), v6(3), v6(4)])]
 #[case::mixed([v4(1), v6(2), v4(3), v6(4)])]
 fn a_heartbeat_and_a_summary_arrive_as_they_were_sent(#[case] addresses: [SocketAddr; 4]) {
-    with_server(async |address, keeper| {
+    with_server(async |address, handler| {
         let me = host(addresses);
         let client = PeerClient::new(address, local(me.clone(), "k", &["known"]), DEADLINE);
-        assert_eq!(client.heartbeat(&beat(&me)).await.unwrap(), REVISION);
-        // A load of a service that is not known here is left out.
-        let mut expected = beat(&me);
+        assert_eq!(
+            client.heartbeat(&heartbeat_message(&me)).await.unwrap(),
+            REVISION
+        );
+        // The server skips loads of services that it does not know.
+        let mut expected = heartbeat_message(&me);
         expected.loads = vec![load("known")];
-        assert_eq!(*keeper.beats.borrow(), vec![expected]);
+        assert_eq!(*handler.heartbeats.borrow(), vec![expected]);
 
         let summary = |hosts: Vec<HostEntry>| ZoneSummary {
             zone: "norte".to_owned(),
@@ -176,59 +179,65 @@
             summaries: vec![summary(vec![me.clone()]), summary(Vec::new())],
         };
         let reply = client.exchange(&exchange).await.unwrap();
-        assert_eq!(*keeper.summaries.borrow(), exchange.summaries);
-        assert_eq!(*keeper.from.borrow(), Some(me));
+        assert_eq!(*handler.summaries.borrow(), exchange.summaries);
+        assert_eq!(*handler.from.borrow(), Some(me));
         assert_eq!(reply.summaries, exchange.summaries);
         assert_eq!(reply.position, exchange.position);
     });
 }
 
 #[test]
-fn another_key_gets_no_session() {
-    with_server(async |address, keeper| {
+fn a_client_with_another_key_gets_no_session() {
+    with_server(async |address, handler| {
         let me = host([v4(1), v4(2), v4(3), v4(4)]);
         let stranger = PeerClient::new(address, local(me.clone(), "other", &[]), DEADLINE);
-        let refused = stranger.heartbeat(&beat(&me)).await.unwrap_err();
-        assert!(refused.to_string().contains("shared key"), "{refused}");
-        assert!(keeper.beats.borrow().is_empty());
+        let error = stranger
+            .heartbeat(&heartbeat_message(&me))
+            .await
+            .unwrap_err();
+        assert!(error.to_string().contains("shared key"), "{error}");
+        assert!(handler.heartbeats.borrow().is_empty());
     });
 }
 
 #[test]
-fn a_host_without_a_port_is_refused() {
-    with_server(async |address, keeper| {
+fn a_heartbeat_of_a_host_without_a_port_is_rejected() {
+    with_server(async |address, handler| {
         let me = host([v4(1), v4(2), v4(0), v4(4)]);
         let client = PeerClient::new(address, local(me.clone(), "k", &[]), DEADLINE);
-        let refused = client.heartbeat(&beat(&me)).await.unwrap_err();
-        assert!(refused.to_string().contains("no port"), "{refused}");
-        assert!(keeper.beats.borrow().is_empty());
+        let error = client.heartbeat(&heartbeat_message(&me)).await.unwrap_err();
+        assert!(error.to_string().contains("no port"), "{error}");
+        assert!(handler.heartbeats.borrow().is_empty());
     });
 }
 
 #[test]
-fn nonsense_ends_its_own_connection_only() {
-    with_server(async |address, keeper| {
+fn invalid_bytes_close_only_their_own_connection() {
+    with_server(async |address, handler| {
         let me = host([v4(1), v4(2), v4(3), v4(4)]);
         let client = PeerClient::new(address, local(me.clone(), "k", &[]), DEADLINE);
-        for nonsense in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &[0; 64]] {
+        for invalid in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &[0; 64]] {
             let mut stream = TcpStream::connect(address).await.unwrap();
-            stream.write_all(nonsense).await.unwrap();
+            stream.write_all(invalid).await.unwrap();
             drop(stream);
-            client.heartbeat(&beat(&me)).await.unwrap();
+            client.heartbeat(&heartbeat_message(&me)).await.unwrap();
         }
-        assert_eq!(keeper.beats.borrow().len(), 3);
+        assert_eq!(handler.heartbeats.borrow().len(), 3);
     });
 }
 
-/// Records take so many bytes; one more than may be told are left out.
+/// The records of an update are omitted if they take more bytes than allowed.
 #[rstest]
 #[case::exactly_as_many(0, true)]
 #[case::one_too_many(1, false)]
-fn news_that_are_too_large_come_without_records(#[case] too_many: usize, #[case] told: bool) {
-    with_server(async |address, keeper| {
+fn an_update_that_is_too_large_arrives_without_records(
+    #[case] excess_bytes: usize,
+    #[case] sent: bool,
+) {
+    with_server(async |address, handler| {
         let me = host([v4(1), v4(2), v4(3), v4(4)]);
         let gone = |name: &str| Record::HostGone(name.to_owned());
-        let news = FeedUpdate {
+        let update = FeedUpdate {
             feed: Feed::Hosts,
             version: 8,
             digest: 9,
@@ -237,24 +246,25 @@
                 away_before: Duration::from_secs(4),
             },
             records: vec![gone("a"), gone("b")],
-            as_of: Instant::now() - WAITED,
+            as_of: Instant::now() - UPDATE_AGE,
         };
-        let news_as_of = news.as_of;
-        let bytes = postcard::to_allocvec(&news.records).unwrap().len();
-        let encoded = EncodedUpdate::new(&news, bytes - too_many, news.as_of);
+        let update_as_of = update.as_of;
+        let bytes = postcard::to_allocvec(&update.records).unwrap().len();
+        let encoded = EncodedUpdate::new(&update, bytes - excess_bytes, update.as_of);
         let client = PeerClient::new(address, local(me, "k", &["known"]), DEADLINE);
         client.send_update(&encoded).await.unwrap();
-        let mut expected = news;
-        if !told {
+        let mut expected = update;
+        if !sent {
             expected.records.clear();
         }
-        let heard = keeper.news.borrow();
-        assert!(heard[0].as_of <= news_as_of);
+        let received = handler.updates.borrow();
+        assert!(received[0].as_of <= update_as_of);
         assert!(
-            heard[0].store_uptime.answering_for >= expected.store_uptime.answering_for + WAITED
+            received[0].store_uptime.answering_for
+                >= expected.store_uptime.answering_for + UPDATE_AGE
         );
-        expected.as_of = heard[0].as_of;
-        expected.store_uptime.answering_for = heard[0].store_uptime.answering_for;
-        assert_eq!(*heard, vec![expected]);
+        expected.as_of = received[0].as_of;
+        expected.store_uptime.answering_for = received[0].store_uptime.answering_for;
+        assert_eq!(*received, vec![expected]);
     });
 }
--- a/crates/peer/tests/transit.rs
+++ b/crates/peer/tests/transit.rs
@@ -1,4 +1,5 @@
-//! The bound on a message's time under way, against random ways, freezes and clocks.
+//! Compares the computed maximum transit time of messages with random transit times, pauses and
+//! clock offsets.
 
 use std::time::{Duration, Instant};
 
@@ -10,38 +11,38 @@
 
 const MESSAGES: usize = 50;
 
-fn ms(range: std::ops::Range<u64>, rng: &mut StdRng) -> Duration {
+fn random_ms(range: std::ops::Range<u64>, rng: &mut StdRng) -> Duration {
     Duration::from_millis(rng.random_range(range))
 }
 
-/// A way that is short, but for one message in five.
-fn way(rng: &mut StdRng) -> Duration {
+/// Returns a random transit time: short for four of five messages.
+fn transit_time(rng: &mut StdRng) -> Duration {
     match rng.random_ratio(1, 5) {
-        true => ms(100..5_000, rng),
-        false => ms(0..80, rng),
+        true => random_ms(100..5_000, rng),
+        false => random_ms(0..80, rng),
     }
 }
 
 #[rstest]
-fn no_message_was_under_way_for_longer_than_its_bound(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn no_transit_time_exceeds_the_computed_maximum(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    // Clocks of two hosts differ, and run at the same speed.
-    let sender = Instant::now() + ms(0..1_000_000, &mut rng);
-    let receiver = Instant::now() + ms(0..1_000_000, &mut rng);
-    let challenge_way = way(&mut rng);
-    let mut now = challenge_way;
+    // The clocks of the two hosts differ by a constant offset.
+    let sender = Instant::now() + random_ms(0..1_000_000, &mut rng);
+    let receiver = Instant::now() + random_ms(0..1_000_000, &mut rng);
+    let challenge_transit = transit_time(&mut rng);
+    let mut now = challenge_transit;
     let mut replies = ReplyTimes::new(sender + now);
     let mut receipts = ReceiptTimes::new(receiver);
-    let mut reply_way = challenge_way;
+    let mut reply_transit = challenge_transit;
     for _ in 0..MESSAGES {
-        now += ms(0..2_000, &mut rng);
+        now += random_ms(0..2_000, &mut rng);
         let since_reply = replies.since_last(Feed::Upstreams, sender + now);
-        let under_way = way(&mut rng);
-        now += under_way;
-        let most = receipts.max_transit_time(Feed::Upstreams, receiver + now, since_reply);
-        assert_eq!(most, under_way + reply_way);
-        reply_way = way(&mut rng);
-        now += reply_way;
+        let message_transit = transit_time(&mut rng);
+        now += message_transit;
+        let max = receipts.max_transit_time(Feed::Upstreams, receiver + now, since_reply);
+        assert_eq!(max, message_transit + reply_transit);
+        reply_transit = transit_time(&mut rng);
+        now += reply_transit;
         replies.record(Feed::Upstreams, sender + now);
     }
 }
