--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims and receipts for work that may not be repeated, in grouped commits.
+//! Claims and receipts of requests that must not run more than once, written in batches.
 
 use std::collections::BTreeMap;
 
@@ -6,37 +6,39 @@
 use steering::ids::{ClaimId, HostName, Incarnation};
 
 use crate::table::{
-    ABSENT, Commit, Condition, Platform, Row, StoreError, Transaction, Write, parse, read_one, text,
+    ABSENT, Commit, Condition, Platform, Row, StoreError, Transaction, Write, parse, read_one,
+    to_json,
 };
 
-const CLAIMS: &str = "claim/";
-const TRIES: usize = 4;
+const KEY_PREFIX: &str = "claim/";
+/// Maximum number of commits or reads for one batch of claims.
+const MAX_ATTEMPTS: usize = 4;
 
-/// A claim to be written where the row is absent.
+/// A claim to insert; fails if the row exists.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The work.
+    /// Identity of the claimed request.
     pub id: ClaimId,
-    /// The try at it.
+    /// Random number that identifies the attempt to run the request.
     pub attempt: AttemptId,
-    /// Digest of the request.
+    /// Digest of the request's contents.
     pub fingerprint: Fingerprint,
 }
 
-/// The end of some work, to be written for others to find.
+/// The outcome of a claimed request, written so that other hosts can find it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceiptWrite {
-    /// The work.
+    /// Identity of the claimed request.
     pub id: ClaimId,
-    /// The try at it.
+    /// Random number that identifies the attempt to run the request.
     pub attempt: AttemptId,
-    /// Digest of the request.
+    /// Digest of the request's contents.
     pub fingerprint: Fingerprint,
-    /// How it ended; none takes the row away: it certainly did not run.
+    /// Outcome of the request; none if the request certainly did not run, which removes the claim.
     pub ending: Option<WorkOutcome>,
 }
 
-/// Claims of one start of a host.
+/// Claims written by one incarnation of a host.
 pub struct ClaimStore<'a> {
     platform: &'a dyn Platform,
     host: HostName,
@@ -44,7 +46,7 @@
 }
 
 impl<'a> ClaimStore<'a> {
-    /// Claims of this start in this platform.
+    /// Creates a store for the claims of the given incarnation of `host`.
     pub fn new(platform: &'a dyn Platform, host: HostName, incarnation: Incarnation) -> Self {
         ClaimStore {
             platform,
@@ -53,85 +55,89 @@
         }
     }
 
-    /// Writes claims in as few commits as their conflicts allow; answers in order.
+    /// Writes claims in as few commits as conflicts allow; returns the outcomes in the order of
+    /// `requests`.
     ///
-    /// A lost answer is settled by reading back: a row that is there with this
-    /// try's number was written by the lost one.
+    /// After a lost answer the rows are read again: an existing row with the same attempt number
+    /// was written by the commit whose answer was lost.
     pub fn claim(&self, requests: &[ClaimRequest]) -> Vec<ClaimOutcome> {
-        let mut answers: BTreeMap<ClaimId, ClaimOutcome> = BTreeMap::new();
+        let mut outcomes: BTreeMap<ClaimId, ClaimOutcome> = BTreeMap::new();
         let mut open: BTreeMap<ClaimId, &ClaimRequest> = requests
             .iter()
             .map(|request| (request.id.clone(), request))
             .collect();
-        let mut lost = false;
-        let mut last = StoreError::AnswerLost(format!("no answer in {TRIES} tries"));
-        for _ in 0..TRIES {
+        let mut answer_lost = false;
+        let mut last_error =
+            StoreError::AnswerLost(format!("no answer in {MAX_ATTEMPTS} attempts"));
+        for _ in 0..MAX_ATTEMPTS {
             if open.is_empty() {
                 break;
             }
             match self.platform.commit(&self.insert(open.values().copied())) {
                 Ok(Commit::Done) => {
                     let held = open.keys().map(|id| (id.clone(), ClaimOutcome::Held));
-                    answers.extend(held);
+                    outcomes.extend(held);
                     open.clear();
                 }
-                Ok(Commit::Conflict(rows)) => self.settle(&rows, lost, &mut open, &mut answers),
+                Ok(Commit::Conflict(rows)) => {
+                    self.resolve(&rows, answer_lost, &mut open, &mut outcomes)
+                }
                 Err(StoreError::AnswerLost(reason)) => {
-                    lost = true;
-                    last = StoreError::AnswerLost(reason);
+                    answer_lost = true;
+                    last_error = StoreError::AnswerLost(reason);
                     let keys: Vec<String> = open.keys().map(|id| key(id)).collect();
                     if let Ok(rows) = self.platform.read(&keys) {
-                        self.settle(&rows, lost, &mut open, &mut answers);
+                        self.resolve(&rows, answer_lost, &mut open, &mut outcomes);
                     }
                 }
                 Err(error) => {
-                    last = error;
+                    last_error = error;
                     break;
                 }
             }
         }
-        let answer = |request: &ClaimRequest| {
-            let known = answers.get(&request.id).cloned();
-            known.unwrap_or_else(|| ClaimOutcome::Failed(last.to_string()))
+        let outcome = |request: &ClaimRequest| {
+            let known = outcomes.get(&request.id).cloned();
+            known.unwrap_or_else(|| ClaimOutcome::Failed(last_error.to_string()))
         };
-        requests.iter().map(answer).collect()
+        requests.iter().map(outcome).collect()
     }
 
-    /// Takes rows that are there out of `open`, with what they mean.
-    fn settle(
+    /// Moves claims whose rows exist from `open` to `outcomes`.
+    fn resolve(
         &self,
         rows: &[Row],
-        lost: bool,
+        answer_lost: bool,
         open: &mut BTreeMap<ClaimId, &ClaimRequest>,
-        answers: &mut BTreeMap<ClaimId, ClaimOutcome>,
+        outcomes: &mut BTreeMap<ClaimId, ClaimOutcome>,
     ) {
         for row in rows.iter().filter(|row| row.version != ABSENT) {
-            let id = row.key.trim_start_matches(CLAIMS).to_owned();
+            let id = row.key.trim_start_matches(KEY_PREFIX).to_owned();
             if let Some(request) = open.remove(&id) {
-                answers.insert(id, self.judge(row, request, lost));
+                outcomes.insert(id, self.existing_claim(row, request, answer_lost));
             }
         }
     }
 
-    /// Writes the ends of work that this host ran, and takes away the claims of
-    /// work that it did not run.
+    /// Writes the outcomes of requests that this host ran, and removes the claims of requests that
+    /// this host did not run.
     ///
-    /// Only the host that ran it writes an end, so those rows' earlier state does
-    /// not matter. A claim is taken away only where this very try wrote it: the row
-    /// may be another host's, or that of a later try which is running.
+    /// Only the host that ran a request writes an outcome, so outcomes are written without
+    /// conditions. A claim is removed only if the same attempt wrote the claim, since the row may
+    /// belong to another host or to a later attempt that is running.
     pub fn finish(&self, receipts: &[ReceiptWrite]) -> Result<(), StoreError> {
         let mut transaction = Transaction::default();
-        let unused: Vec<&ReceiptWrite> = receipts
+        let not_run: Vec<&ReceiptWrite> = receipts
             .iter()
             .filter(|receipt| receipt.ending.is_none())
             .collect();
-        if !unused.is_empty() {
-            let keys: Vec<String> = unused.iter().map(|receipt| key(&receipt.id)).collect();
+        if !not_run.is_empty() {
+            let keys: Vec<String> = not_run.iter().map(|receipt| key(&receipt.id)).collect();
             let rows = self.platform.read(&keys)?;
-            for (row, receipt) in rows.into_iter().zip(unused) {
+            for (row, receipt) in rows.into_iter().zip(not_run) {
                 let claim = parse::<ClaimRow>(&row);
                 if row.version != ABSENT
-                    && claim.is_ok_and(|claim| self.wrote(&claim, receipt.attempt))
+                    && claim.is_ok_and(|claim| self.is_own_open_claim(&claim, receipt.attempt))
                 {
                     transaction.conditions.push(Condition {
                         key: row.key.clone(),
@@ -148,7 +154,7 @@
             if let Some(ending) = &receipt.ending {
                 transaction.writes.push(Write {
                     key: key(&receipt.id),
-                    value: Some(text(&self.row(
+                    value: Some(to_json(&self.row(
                         receipt.attempt,
                         &receipt.fingerprint,
                         Some(ending.clone()),
@@ -161,13 +167,13 @@
         }
         match self.platform.commit(&transaction)? {
             Commit::Done => Ok(()),
-            Commit::Conflict(_) => {
-                Err(StoreError::Unavailable("rows changed meanwhile".to_owned()))
-            }
+            Commit::Conflict(_) => Err(StoreError::Unavailable(
+                "rows changed between read and write".to_owned(),
+            )),
         }
     }
 
-    /// The row of some work; none where there is none.
+    /// Returns the row of a request; none if there is no row.
     pub fn find(&self, id: &str) -> Result<Option<ClaimRow>, StoreError> {
         let row = read_one(self.platform, &key(id))?;
         if row.version == ABSENT {
@@ -185,25 +191,32 @@
             });
             transaction.writes.push(Write {
                 key: key(&request.id),
-                value: Some(text(&self.row(request.attempt, &request.fingerprint, None))),
+                value: Some(to_json(&self.row(
+                    request.attempt,
+                    &request.fingerprint,
+                    None,
+                ))),
             });
         }
         transaction
     }
 
-    /// What a row that is there means: after a lost answer it may be this try's own.
-    fn judge(&self, row: &Row, request: &ClaimRequest, lost: bool) -> ClaimOutcome {
+    /// Returns the outcome of a claim whose row exists. After a lost answer the row may be the one
+    /// that this attempt wrote.
+    fn existing_claim(&self, row: &Row, request: &ClaimRequest, answer_lost: bool) -> ClaimOutcome {
         match parse::<ClaimRow>(row) {
-            Ok(row) if lost && self.wrote(&row, request.attempt) => ClaimOutcome::Held,
+            Ok(row) if answer_lost && self.is_own_open_claim(&row, request.attempt) => {
+                ClaimOutcome::Held
+            }
             Ok(row) => ClaimOutcome::Taken(row),
             Err(error) => ClaimOutcome::Failed(error.to_string()),
         }
     }
 
-    /// Whether this start wrote the row in this try, and the work has not ended.
-    fn wrote(&self, row: &ClaimRow, attempt: AttemptId) -> bool {
-        let mine = row.host == self.host && row.incarnation == self.incarnation;
-        mine && row.attempt == attempt && row.ending.is_none()
+    /// Whether this incarnation wrote the row in this attempt, and the request has no outcome yet.
+    fn is_own_open_claim(&self, row: &ClaimRow, attempt: AttemptId) -> bool {
+        let is_own = row.host == self.host && row.incarnation == self.incarnation;
+        is_own && row.attempt == attempt && row.ending.is_none()
     }
 
     fn row(&self, attempt: AttemptId, fingerprint: &str, ending: Option<WorkOutcome>) -> ClaimRow {
@@ -218,5 +231,5 @@
 }
 
 fn key(id: &str) -> String {
-    format!("{CLAIMS}{id}")
+    format!("{KEY_PREFIX}{id}")
 }
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -1,9 +1,9 @@
-//! Accepted configurations in the platform's table and object store.
+//! Accepted configurations, in the platform's table service and object store.
 //!
-//! `config/head` holds the last revision; each change has a row by revision and
-//! one by its own id, written in the same transaction. A lost answer is settled
-//! by trying the same transaction again: either it takes effect now, or the
-//! row by id shows that it did before.
+//! The row `config/head` contains the last revision. Each change has one row by revision and one
+//! by change id, written in the same transaction. If the answer to a commit is lost, the same
+//! transaction is tried again: either the retry takes effect, or the row by change id shows that
+//! the first commit took effect.
 
 use derive_more::{Display, Error, From};
 use serde::{Deserialize, Serialize};
@@ -12,17 +12,22 @@
 use steering::ids::Revision;
 
 use crate::table::{
-    Commit, Platform, StoreError, Transaction, Version, Write, parse, read_one, text,
+    Commit, Platform, StoreError, Transaction, Version, Write, parse, read_one, to_json,
 };
 
-const HEAD: &str = "config/head";
-const CHANGES: &str = "config/change/";
-const IDS: &str = "config/id/";
-const SNAPSHOTS: &str = "config-snapshot-";
+const HEAD_KEY: &str = "config/head";
+const CHANGE_PREFIX: &str = "config/change/";
+const ID_PREFIX: &str = "config/id/";
+const SNAPSHOT_PREFIX: &str = "config-snapshot-";
+/// Maximum number of changes read at once.
 const SCAN_LIMIT: usize = 128;
-const SNAPSHOT_EVERY: Revision = 64;
-const KEEP_CHANGES: Revision = 128;
-const TRIES: usize = 8;
+/// Number of revisions between two snapshots.
+const SNAPSHOT_INTERVAL: Revision = 64;
+/// Number of changes that are kept before the previous snapshot. A host that is further behind
+/// loads the latest snapshot instead.
+const KEPT_CHANGES: Revision = 128;
+/// Maximum number of commits for one proposal.
+const MAX_ATTEMPTS: usize = 8;
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct Head {
@@ -30,39 +35,39 @@
     snapshot_revision: Option<Revision>,
 }
 
-/// Why a poll brought nothing; what is in force stays.
+/// Why a poll failed; the configuration in force is unchanged.
 #[derive(Debug, Display, Error, From)]
 pub enum PollError {
-    /// The platform gave no answer.
+    /// The call to the platform failed.
     #[display("{_0}")]
     Store(StoreError),
-    /// What it gave is not taken.
+    /// The stored history is invalid.
     #[display("{_0}")]
     History(HistoryError),
 }
 
-/// Configurations in the platform.
+/// Client of the configurations stored in the platform.
 pub struct ConfigStore<'a> {
     platform: &'a dyn Platform,
 }
 
 impl<'a> ConfigStore<'a> {
-    /// Configurations in this platform.
+    /// Creates a client of the given platform.
     pub fn new(platform: &'a dyn Platform) -> Self {
         ConfigStore { platform }
     }
 
-    /// Brings `history` up to the last revision; one read where nothing is new.
+    /// Updates `history` to the last revision; needs one read if there is no new revision.
     pub fn poll(&self, history: &mut History) -> Result<(), PollError> {
         self.catch_up(history).map(|_| ())
     }
 
-    /// Proposes a change. `history` is brought up to date on the way.
+    /// Proposes a change. Also updates `history` to the last revision.
     pub fn propose(&self, history: &mut History, proposal: &Proposal) -> ProposalOutcome {
         let mut may_have_taken_effect = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.try_propose(history, proposal, &mut may_have_taken_effect) {
-                Ok(Some(verdict)) => return verdict,
+                Ok(Some(outcome)) => return outcome,
                 Ok(None) => {}
                 Err(error) if may_have_taken_effect => {
                     return ProposalOutcome::Unknown(error.to_string());
@@ -71,14 +76,14 @@
             }
         }
         match may_have_taken_effect {
-            true => ProposalOutcome::Unknown(format!("no answer in {TRIES} tries")),
-            false => {
-                ProposalOutcome::Unavailable(format!("other changes came first {TRIES} times"))
-            }
+            true => ProposalOutcome::Unknown(format!("no answer in {MAX_ATTEMPTS} attempts")),
+            false => ProposalOutcome::Unavailable(format!(
+                "other changes were accepted first {MAX_ATTEMPTS} times"
+            )),
         }
     }
 
-    /// What became of a change, by its id.
+    /// Returns the revision that the change `id` created; none if the change was not accepted.
     pub fn find(&self, id: &str) -> Result<Option<Revision>, StoreError> {
         let row = read_one(self.platform, &id_key(id))?;
         if row.value.is_empty() {
@@ -97,15 +102,19 @@
         if let Some(revision) = self.find(&proposal.change.id)? {
             return Ok(Some(ProposalOutcome::Accepted(revision)));
         }
-        if let Some(verdict) = judge(history, proposal) {
-            // A lost try was made on an older head, which is gone: this is final.
-            return Ok(Some(verdict));
+        if let Some(outcome) = rejection(history, proposal) {
+            // A commit whose answer was lost was based on an older head and can no longer take
+            // effect, so this outcome is final.
+            return Ok(Some(outcome));
         }
         let entry = history.propose(proposal.change.clone());
-        match self.platform.commit(&accept(&head, version, &entry)) {
+        match self
+            .platform
+            .commit(&accept_transaction(&head, version, &entry))
+        {
             Ok(Commit::Done) => {
                 history.accept(&entry)?;
-                self.keep_snapshot(history);
+                self.store_due_snapshot(history);
                 Ok(Some(ProposalOutcome::Accepted(entry.revision)))
             }
             Ok(Commit::Conflict(_)) => Ok(None),
@@ -118,13 +127,13 @@
     }
 
     fn catch_up(&self, history: &mut History) -> Result<(Head, Version), PollError> {
-        let row = read_one(self.platform, HEAD)?;
+        let row = read_one(self.platform, HEAD_KEY)?;
         let head: Head = match row.value.is_empty() {
             true => Head::default(),
             false => parse(&row)?,
         };
         let behind = head.revision.saturating_sub(history.revision());
-        if behind > KEEP_CHANGES
+        if behind > KEPT_CHANGES
             && let Some(revision) = head.snapshot_revision
         {
             self.load_snapshot(history, revision)?;
@@ -145,7 +154,7 @@
     fn changes_after(&self, revision: Revision) -> Result<Vec<Entry>, StoreError> {
         let rows = self
             .platform
-            .scan(CHANGES, &change_key(revision), SCAN_LIMIT)?;
+            .scan(CHANGE_PREFIX, &change_key(revision), SCAN_LIMIT)?;
         rows.iter().map(parse).collect()
     }
 
@@ -160,12 +169,12 @@
         Ok(())
     }
 
-    /// Stores a snapshot where one is due, then drops changes that it covers.
+    /// Stores a snapshot if one is due, then deletes changes that the snapshot covers.
     ///
-    /// A failure leaves the older snapshot and all changes after it in place.
-    fn keep_snapshot(&self, history: &History) {
+    /// After a failure, the previous snapshot and all later changes are still stored.
+    fn store_due_snapshot(&self, history: &History) {
         let revision = history.revision();
-        if !revision.is_multiple_of(SNAPSHOT_EVERY) {
+        if !revision.is_multiple_of(SNAPSHOT_INTERVAL) {
             return;
         }
         if let Err(error) = self.store_snapshot(history) {
@@ -177,38 +186,39 @@
         let revision = history.revision();
         let bytes = serde_json::to_vec(&history.snapshot()).expect("snapshots are valid JSON");
         self.platform.put(&snapshot_name(revision), &bytes)?;
-        let row = read_one(self.platform, HEAD)?;
+        let row = read_one(self.platform, HEAD_KEY)?;
         let mut head: Head = parse(&row)?;
-        let old = head.snapshot_revision.replace(revision);
-        let transaction = Transaction::default().replace(HEAD, row.version, text(&head));
+        let previous = head.snapshot_revision.replace(revision);
+        let transaction = Transaction::default().replace(HEAD_KEY, row.version, to_json(&head));
         if self.platform.commit(&transaction)? == Commit::Done
-            && let Some(old) = old
+            && let Some(previous) = previous
         {
-            self.drop_changes(old)?;
+            self.delete_changes(previous)?;
         }
         Ok(())
     }
 
-    /// Drops changes up to the snapshot before the last: a host that is behind
-    /// by less than that needs them.
-    fn drop_changes(&self, up_to: Revision) -> Result<(), StoreError> {
-        let Some(up_to) = up_to.checked_sub(KEEP_CHANGES) else {
+    /// Deletes changes that are [`KEPT_CHANGES`] or more revisions older than the previous snapshot.
+    /// Hosts that are less far behind need the later changes.
+    fn delete_changes(&self, up_to: Revision) -> Result<(), StoreError> {
+        let Some(up_to) = up_to.checked_sub(KEPT_CHANGES) else {
             return Ok(());
         };
-        let first = up_to.saturating_sub(SNAPSHOT_EVERY);
-        let drop = |revision| Write {
+        let first = up_to.saturating_sub(SNAPSHOT_INTERVAL);
+        let deletion = |revision| Write {
             key: change_key(revision),
             value: None,
         };
         let transaction = Transaction {
             conditions: Vec::new(),
-            writes: (first..=up_to).map(drop).collect(),
+            writes: (first..=up_to).map(deletion).collect(),
         };
         self.platform.commit(&transaction).map(|_| ())
     }
 }
 
-fn judge(history: &History, proposal: &Proposal) -> Option<ProposalOutcome> {
+/// Returns why a proposal is rejected; none if the proposal can be committed.
+fn rejection(history: &History, proposal: &Proposal) -> Option<ProposalOutcome> {
     match history.conflicting_objects(proposal.base, &proposal.change) {
         Some(objects) if objects.is_empty() => {}
         Some(objects) => return Some(ProposalOutcome::Conflict(objects)),
@@ -222,25 +232,25 @@
     }
 }
 
-fn accept(head: &Head, version: Version, entry: &Entry) -> Transaction {
+fn accept_transaction(head: &Head, version: Version, entry: &Entry) -> Transaction {
     let head = Head {
         revision: entry.revision,
         snapshot_revision: head.snapshot_revision,
     };
     Transaction::default()
-        .replace(HEAD, version, text(&head))
-        .insert(change_key(entry.revision), text(entry))
-        .insert(id_key(&entry.change.id), text(&entry.revision))
+        .replace(HEAD_KEY, version, to_json(&head))
+        .insert(change_key(entry.revision), to_json(entry))
+        .insert(id_key(&entry.change.id), to_json(&entry.revision))
 }
 
 fn change_key(revision: Revision) -> String {
-    format!("{CHANGES}{revision:020}")
+    format!("{CHANGE_PREFIX}{revision:020}")
 }
 
 fn id_key(id: &str) -> String {
-    format!("{IDS}{id}")
+    format!("{ID_PREFIX}{id}")
 }
 
 fn snapshot_name(revision: Revision) -> String {
-    format!("{SNAPSHOTS}{revision}")
+    format!("{SNAPSHOT_PREFIX}{revision}")
 }
--- a/crates/store/src/hosts.rs
+++ b/crates/store/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts, which lags behind reality.
+//! The platform's list of live and leaving hosts, which may be out of date.
 
 use serde::{Deserialize, Serialize};
 use steering::ids::Incarnation;
@@ -6,23 +6,23 @@
 
 use crate::StoreError;
 
-/// A host as the platform lists it.
+/// An entry of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Name and addresses.
+    /// Name, zone and addresses of the host.
     pub entry: HostEntry,
-    /// Its start, where the platform knows it.
+    /// Incarnation of the host; none if the platform does not know the incarnation.
     #[serde(default)]
     pub incarnation: Option<Incarnation>,
-    /// Whether the platform will take it away soon.
+    /// Whether the platform will remove the host soon.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The list of hosts.
+/// The platform's list of hosts.
 pub trait HostList: Send {
-    /// The hosts as the platform believes now.
+    /// Returns all listed hosts.
     fn hosts(&self) -> Result<Vec<ListedHost>, StoreError>;
-    /// Tells the platform of this host's start.
+    /// Adds this host and its incarnation to the list.
     fn register(&self, host: &ListedHost) -> Result<(), StoreError>;
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, through `ureq`.
+//! HTTP client of the platform, based on `ureq`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +14,32 @@
 pub mod wire {
     use serde::{Deserialize, Serialize};
 
-    /// Reads rows by key.
+    /// Path of reads by key.
     pub const READ: &str = "/table/read";
-    /// Reads rows by prefix.
+    /// Path of scans by key prefix.
     pub const SCAN: &str = "/table/scan";
-    /// Commits a transaction.
+    /// Path of transactions.
     pub const COMMIT: &str = "/table/commit";
-    /// Objects, by name.
+    /// Prefix of the paths of objects; the object's name follows.
     pub const OBJECTS: &str = "/objects/";
-    /// The host list.
+    /// Path of the host list.
     pub const HOSTS: &str = "/hosts";
 
-    /// Body of a scan.
+    /// Request body of a scan.
     #[derive(Debug, Clone, Serialize, Deserialize)]
     pub struct Scan {
-        /// What keys start with.
+        /// Prefix of the keys.
         pub prefix: String,
-        /// Key that all come after.
+        /// Only rows with a greater key are returned.
         pub after: String,
-        /// Most rows.
+        /// Maximum number of rows.
         pub limit: usize,
     }
 }
 
-const ANSWER_LIMIT_BYTES: u64 = 256 << 20;
+const MAX_ANSWER_BYTES: u64 = 256 << 20;
 
-/// The platform at one address.
+/// HTTP client of the platform at one address.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     agent: Agent,
@@ -47,7 +47,7 @@
 }
 
 impl HttpPlatform {
-    /// A client; every call ends within `timeout`.
+    /// Creates a client of the platform at `address`; `timeout` limits the time of every call.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(timeout))
@@ -68,14 +68,14 @@
             .agent
             .post(format!("{}{path}", self.base))
             .send_json(body)
-            .map_err(lost)?;
-        read_json(accept(answer)?)
+            .map_err(transport_error)?;
+        read_json(check_status(answer)?)
     }
 }
 
 type HttpAnswer = ureq::http::Response<ureq::Body>;
 
-fn accept(answer: HttpAnswer) -> Result<HttpAnswer, StoreError> {
+fn check_status(answer: HttpAnswer) -> Result<HttpAnswer, StoreError> {
     match answer.status().as_u16() {
         200..=299 => Ok(answer),
         503 => Err(StoreError::Unavailable("503".to_owned())),
@@ -87,13 +87,13 @@
     let bytes = answer
         .body_mut()
         .with_config()
-        .limit(ANSWER_LIMIT_BYTES)
+        .limit(MAX_ANSWER_BYTES)
         .read_to_vec()
-        .map_err(lost)?;
+        .map_err(transport_error)?;
     serde_json::from_slice(&bytes).map_err(|error| StoreError::InvalidAnswer(error.to_string()))
 }
 
-fn lost(error: ureq::Error) -> StoreError {
+fn transport_error(error: ureq::Error) -> StoreError {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => {
             StoreError::Unavailable(error.to_string())
@@ -130,8 +130,8 @@
             .agent
             .put(format!("{}{}{name}", self.base, wire::OBJECTS))
             .send(bytes)
-            .map_err(lost)?;
-        accept(answer).map(|_| ())
+            .map_err(transport_error)?;
+        check_status(answer).map(|_| ())
     }
 
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
@@ -139,16 +139,16 @@
             .agent
             .get(format!("{}{}{name}", self.base, wire::OBJECTS))
             .call()
-            .map_err(lost)?;
+            .map_err(transport_error)?;
         if answer.status().as_u16() == 404 {
             return Ok(None);
         }
-        let bytes = accept(answer)?
+        let bytes = check_status(answer)?
             .body_mut()
             .with_config()
-            .limit(ANSWER_LIMIT_BYTES)
+            .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
-            .map_err(lost)?;
+            .map_err(transport_error)?;
         Ok(Some(bytes))
     }
 }
@@ -159,8 +159,8 @@
             .agent
             .get(format!("{}{}", self.base, wire::HOSTS))
             .call()
-            .map_err(lost)?;
-        read_json(accept(answer)?)
+            .map_err(transport_error)?;
+        read_json(check_status(answer)?)
     }
 
     fn register(&self, host: &ListedHost) -> Result<(), StoreError> {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! Table service, object store and host list of the platform.
+//! Clients of the platform's table service, object store and host list.
 //!
-//! All that must last or be agreed goes through here. An answer that is lost
-//! after its write took effect is settled by reading back, never by a guess.
+//! All durable data, and all data that hosts must agree on, is stored here. If the answer to a
+//! write is lost, the outcome is determined by reading the rows again, never assumed.
 
 mod claims;
 mod config;
--- a/crates/store/src/records.rs
+++ b/crates/store/src/records.rs
@@ -1,5 +1,5 @@
-//! What a host that serves routes needs of a store: feeds of what operators and
-//! upstreams say, and a few rows of its own.
+//! Interface to the store for hosts that serve routes: feeds of operators' and upstreams' records,
+//! and rows that stagedeck itself writes.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,53 +8,55 @@
 use derive_more::{Display, Error};
 use steering::route::{Changes, Feed, FeedVersion};
 
-/// A call in progress; calls are made on one thread.
+/// Future of a call to the store; not `Send`, since all calls are made on one thread.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, RecordError>> + 'a>>;
 
-/// A row of the system's own.
+/// A row that stagedeck itself writes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnRow {
-    /// Its key within its table.
+    /// Key of the row within its table.
     pub key: String,
-    /// Its value.
+    /// Encoded value of the row.
     pub value: Vec<u8>,
 }
 
-/// Why a call brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum RecordError {
-    /// The store can't be reached, or gave no answer in time; a write may have been done.
+    /// The store can't be reached or did not answer in time; a write may have taken effect.
     #[display("no answer: {_0}")]
     NoAnswer(#[error(not(source))] String),
-    /// It turned the call away and did nothing.
-    #[display("turned away with status {_0}")]
+    /// The store rejected the call with this HTTP status; nothing was written.
+    #[display("rejected with status {_0}")]
     Rejected(#[error(not(source))] u16),
-    /// The feed no longer goes back so far; it must be read whole.
-    #[display("the history is gone")]
+    /// The store no longer has the changes after the version; the whole feed must be read.
+    #[display("the history is no longer available")]
     HistoryGone,
-    /// It answered with something that makes no sense.
-    #[display("the answer makes no sense: {_0}")]
+    /// The answer could not be decoded.
+    #[display("invalid answer: {_0}")]
     InvalidAnswer(#[error(not(source))] String),
 }
 
-/// Table behind [`Feed::Hosts`]: a row for each host under its name, its
-/// [`steering::membership::HostEntry`] as JSON.
+/// Table of [`Feed::Hosts`]. Contains a row for each host: the key is the host's name, the value
+/// its [`steering::membership::HostEntry`] as JSON.
 pub const HOSTS_TABLE: &str = "hosts";
 
-/// Row of [`HOSTS_TABLE`] with the key that hosts prove to each other. It stands among the
-/// hosts so that one read brings a host that starts both; no host may be named so.
+/// Row of [`HOSTS_TABLE`] with the shared key by which hosts authenticate each other. The row is in
+/// the same table as the hosts, so that a starting host reads both at once. No host may have
+/// this name.
 pub const PEER_KEY_ROW: &str = "*peer-key";
 
-/// The store, as hosts that serve routes see it.
+/// The store, as used by hosts that serve routes.
 pub trait RecordStore {
-    /// Reads a feed whole.
+    /// Reads all records of a feed.
     fn read(&self, feed: Feed) -> StoreFuture<'_, Changes>;
-    /// Waits for what follows `after`, at most for `wait`; the records may be none.
+    /// Waits up to `wait` for changes after the version `after`; returns no records if there are
+    /// none.
     fn watch(&self, feed: Feed, after: FeedVersion, wait: Duration) -> StoreFuture<'_, Changes>;
-    /// Writes a row, whatever was there.
+    /// Writes a row; replaces an existing one.
     fn put(&self, table: &'static str, row: OwnRow) -> StoreFuture<'_, ()>;
-    /// Writes a row where there is none; false where there is one.
+    /// Inserts a row; returns false if the row exists.
     fn create(&self, table: &'static str, row: OwnRow) -> StoreFuture<'_, bool>;
-    /// Takes a row away, whether or not it is there.
+    /// Removes a row; succeeds if there is no such row.
     fn remove(&self, table: &'static str, key: &str) -> StoreFuture<'_, ()>;
 }
--- a/crates/store/src/worker.rs
+++ b/crates/store/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread for the platform's blocking calls, so that a slow store stalls nothing.
+//! A thread for blocking calls to the platform, so that a slow store does not block other work.
 
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread;
@@ -10,25 +10,25 @@
 
 type Job = Box<dyn FnOnce(&dyn Platform) + Send>;
 
-/// Why a job was not run to its end.
+/// Why a job did not complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum WorkerError {
-    /// Too many jobs wait.
-    #[display("too many calls to the platform wait")]
+    /// The queue of the thread is full.
+    #[display("too many calls to the platform are waiting")]
     Full,
-    /// The thread has ended.
-    #[display("the platform's thread has ended")]
+    /// The thread has terminated.
+    #[display("the platform's thread has terminated")]
     Ended,
 }
 
-/// A handle to the thread; it ends when the last handle is gone.
+/// A handle to the thread; the thread terminates when the last handle is dropped.
 #[derive(Clone)]
 pub struct Worker {
     jobs: SyncSender<Job>,
 }
 
 impl Worker {
-    /// Starts a thread that holds at most `limit` waiting jobs.
+    /// Starts a thread with a queue of at most `limit` waiting jobs.
     pub fn spawn(name: &str, platform: Box<dyn Platform>, limit: usize) -> std::io::Result<Worker> {
         let (jobs, waiting) = sync_channel(limit);
         thread::Builder::new()
@@ -37,7 +37,7 @@
         Ok(Worker { jobs })
     }
 
-    /// Runs a job on the thread and waits for what it returns.
+    /// Runs a job on the thread and returns its result.
     pub async fn run<T: Send + 'static>(
         &self,
         job: impl FnOnce(&dyn Platform) -> T + Send + 'static,
--- a/crates/store/tests/fake/mod.rs
+++ b/crates/store/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that fails on demand.
+//! An in-memory platform with injectable faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -7,19 +7,19 @@
     ABSENT, Commit, HostList, ListedHost, ObjectStore, Row, StoreError, Table, Transaction, Version,
 };
 
-/// What goes wrong now.
+/// Fault injected into all calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Nothing.
+    /// Calls succeed.
     #[default]
     None,
-    /// Nothing can be reached.
+    /// The platform can't be reached.
     Down,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their answers are lost.
     AnswerLost,
 }
 
-/// The platform.
+/// In-memory platform.
 #[derive(Default)]
 pub struct FakePlatform {
     fault: Cell<StoreFault>,
@@ -28,18 +28,18 @@
 }
 
 impl FakePlatform {
-    pub fn set(&self, fault: StoreFault) {
+    pub fn set_fault(&self, fault: StoreFault) {
         self.fault.set(fault);
     }
 
-    fn reach(&self) -> Result<(), StoreError> {
+    fn check_reachable(&self) -> Result<(), StoreError> {
         match self.fault.get() {
             StoreFault::Down => Err(StoreError::Unavailable("down".to_owned())),
             _ => Ok(()),
         }
     }
 
-    fn written<T>(&self, answer: T) -> Result<T, StoreError> {
+    fn write_answer<T>(&self, answer: T) -> Result<T, StoreError> {
         match self.fault.get() {
             StoreFault::AnswerLost => Err(StoreError::AnswerLost("lost".to_owned())),
             _ => Ok(answer),
@@ -59,12 +59,12 @@
 
 impl Table for FakePlatform {
     fn read(&self, keys: &[String]) -> Result<Vec<Row>, StoreError> {
-        self.reach()?;
+        self.check_reachable()?;
         Ok(keys.iter().map(|key| self.row(key)).collect())
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError> {
-        self.reach()?;
+        self.check_reachable()?;
         let rows = self.rows.borrow();
         let keys = rows
             .keys()
@@ -73,14 +73,14 @@
     }
 
     fn commit(&self, transaction: &Transaction) -> Result<Commit, StoreError> {
-        self.reach()?;
-        let fails = transaction.conditions.iter().map(|c| (c, self.row(&c.key)));
-        let failed: Vec<Row> = fails
+        self.check_reachable()?;
+        let checked = transaction.conditions.iter().map(|c| (c, self.row(&c.key)));
+        let failed: Vec<Row> = checked
             .filter(|(c, row)| c.version != row.version)
             .map(|(_, row)| row)
             .collect();
         if !failed.is_empty() {
-            return self.written(Commit::Conflict(failed));
+            return self.write_answer(Commit::Conflict(failed));
         }
         for write in &transaction.writes {
             let version = self.row(&write.key).version + 1;
@@ -90,32 +90,32 @@
                 None => rows.remove(&write.key),
             };
         }
-        self.written(Commit::Done)
+        self.write_answer(Commit::Done)
     }
 }
 
 impl ObjectStore for FakePlatform {
     fn put(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-        self.reach()?;
+        self.check_reachable()?;
         self.objects
             .borrow_mut()
             .insert(name.to_owned(), bytes.to_vec());
-        self.written(())
+        self.write_answer(())
     }
 
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
-        self.reach()?;
+        self.check_reachable()?;
         Ok(self.objects.borrow().get(name).cloned())
     }
 }
 
 impl HostList for FakePlatform {
     fn hosts(&self) -> Result<Vec<ListedHost>, StoreError> {
-        self.reach()?;
+        self.check_reachable()?;
         Ok(Vec::new())
     }
 
     fn register(&self, _: &ListedHost) -> Result<(), StoreError> {
-        self.reach()
+        self.check_reachable()
     }
 }
--- a/crates/store/tests/stateful.rs
+++ b/crates/store/tests/stateful.rs
@@ -1,6 +1,8 @@
-//! Random histories of claims and configurations over a store that fails,
-//! against an oracle that knows only what ran, what was told, and what was
-//! accepted. More cases with `STAGEDECK_CASES`.
+//! Random sequences of claims, tickets and configuration changes over a store with faults.
+//!
+//! The results are compared with an oracle, which records only the operations that ran and the
+//! changes that were reported as accepted. The environment variable `STAGEDECK_CASES` sets the
+//! number of cases.
 
 mod fake;
 
@@ -30,28 +32,28 @@
 #[derive(Debug, Clone)]
 enum Step {
     Fault(StoreFault),
-    /// A keyed request reaches a host, which claims it.
+    /// A host receives a request with a key and claims the key.
     Claim {
         host: usize,
         operation: usize,
     },
-    /// The host sends what it holds to an upstream, where it runs.
+    /// The host sends a claimed operation to an upstream, which runs it.
     Dispatch {
         host: usize,
         operation: usize,
     },
-    /// The upstream sheds what the host sends: it certainly does not run.
+    /// The upstream sheds a claimed operation, which therefore certainly does not run.
     Shed {
         host: usize,
         operation: usize,
     },
-    /// A home ticket of `home` reaches a host.
+    /// A host receives a ticket with mode `Home` that `home` has issued.
     Ticket {
         home: usize,
         host: usize,
         operation: usize,
     },
-    /// Another start of a host; what it held is gone.
+    /// A host restarts and loses its state.
     Restart(usize),
     Propose {
         host: usize,
@@ -62,18 +64,18 @@
         from: usize,
         to: usize,
     },
-    /// Receipts that wait for the store are written.
+    /// A host writes its pending receipts to the store.
     Flush(usize),
-    /// A host keeps its document in a message that will come late.
+    /// A host sends its document in a message that will be delayed.
     SendSnapshot(usize),
-    /// A late message comes.
-    TakeSnapshot {
+    /// A delayed message is delivered.
+    DeliverSnapshot {
         message: usize,
         to: usize,
     },
 }
 
-/// Nothing decides which steps are possible: every one is, at any time.
+/// Reference without state: every step is possible at any time.
 #[derive(Debug, Clone)]
 struct Reference;
 
@@ -105,7 +107,7 @@
             3 => (host.clone(), host.clone()).prop_map(|(from, to)| Step::Exchange { from, to }),
             4 => host.clone().prop_map(Step::Flush),
             1 => host.clone().prop_map(Step::SendSnapshot),
-            2 => (0..20_usize, host).prop_map(|(message, to)| Step::TakeSnapshot { message, to }),
+            2 => (0..20_usize, host).prop_map(|(message, to)| Step::DeliverSnapshot { message, to }),
         ]
         .boxed()
     }
@@ -113,16 +115,16 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// One start of a host.
+/// One incarnation of a host.
 struct Host {
     name: String,
     incarnation: u64,
     issuer: Issuer,
     spent: SpentTickets,
-    /// Operations that it has claimed and not yet sent, with the try that did.
-    held: BTreeMap<usize, AttemptId>,
+    /// Claimed operations that were not sent yet, with the attempt that claimed them.
+    claimed: BTreeMap<usize, AttemptId>,
     history: History,
-    /// Receipts that the store has not taken yet.
+    /// Receipts that were not written to the store yet.
     unwritten: Vec<ReceiptWrite>,
 }
 
@@ -138,7 +140,7 @@
                 count: 100,
                 bytes: 1_000,
             }),
-            held: BTreeMap::new(),
+            claimed: BTreeMap::new(),
             history: History::default(),
             unwritten: Vec::new(),
         }
@@ -149,20 +151,20 @@
     }
 }
 
-/// Hosts, the store, and the oracle's notes.
+/// Hosts, the store and the state of the oracle.
 struct World {
     platform: FakePlatform,
     hosts: Vec<Host>,
     now: Instant,
-    /// The oracle: times that each operation ran.
+    /// Oracle: number of times that each operation ran.
     ran: BTreeMap<String, u32>,
-    /// The oracle: revisions that operators were told of, with their changes.
+    /// Oracle: revisions reported to operators as accepted, with the ids of their changes.
     accepted: BTreeMap<u64, String>,
-    /// Tickets that were issued, by home and operation, with the home's start.
+    /// Issued tickets, by issuing host and operation.
     tickets: BTreeMap<(usize, usize), String>,
     changes: u64,
     attempts: AttemptId,
-    /// Snapshots on their way.
+    /// Snapshots in messages that were not delivered yet.
     snapshots: Vec<Snapshot>,
 }
 
@@ -185,7 +187,8 @@
         assert_eq!(*times, 1, "{operation} ran twice");
     }
 
-    /// As `caller` does for a key: spend here, then claim in the store.
+    /// Does what the crate `caller` does for a key: marks the key as spent on the host, then
+    /// claims the key in the store.
     fn claim(&mut self, host: usize, operation: usize) {
         let (now, lapse) = (self.now, self.now + Duration::from_secs(3_600));
         let spend = self.hosts[host]
@@ -208,22 +211,23 @@
         let this = &mut self.hosts[host];
         match outcome {
             ClaimOutcome::Held => {
-                this.held.insert(operation, attempt);
+                this.claimed.insert(operation, attempt);
             }
             ClaimOutcome::Failed(_) => {
                 this.spent.release(&id(operation));
                 self.finish(host, operation, attempt, None);
             }
             ClaimOutcome::Taken(row) => {
-                let mine = row.host == this.name && row.incarnation == this.incarnation;
-                if mine && row.ending.is_none() {
+                let is_own = row.host == this.name && row.incarnation == this.incarnation;
+                if is_own && row.ending.is_none() {
                     this.spent.release(&id(operation));
                     self.finish(host, operation, row.attempt, None);
                     return;
                 }
-                // A start of this host that is gone, or another host that may be there.
-                let gone = row.host == this.name;
-                match decide_existing_claim(&row, "f", gone) {
+                // The row belongs to an earlier incarnation of this host, which is gone, or to
+                // another host, which may be alive.
+                let is_gone = row.host == this.name;
+                match decide_existing_claim(&row, "f", is_gone) {
                     TicketDecision::Replay(ending) => this.spent.complete(&id(operation), ending),
                     _ => this.spent.release(&id(operation)),
                 }
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Notes how an operation ended; the store is told now or by a later flush.
+    /// Records the outcome of an operation; a later flush writes the outcome to the store.
     fn finish(
         &mut self,
         host: usize,
@@ -258,7 +262,8 @@
         }
     }
 
-    /// As `caller` does for a home ticket: only the start that issued it runs it.
+    /// Does what the crate `caller` does for a home ticket: only the incarnation that issued the
+    /// ticket runs the operation.
     fn ticket(&mut self, home: usize, host: usize, operation: usize) {
         let mut rng = StdRng::seed_from_u64(operation as u64);
         let issuer = &self.hosts[home].issuer;
@@ -303,10 +308,10 @@
         let this = &mut self.hosts[host];
         let base = this.history.revision();
         let proposal = Proposal { change, base };
-        let verdict = ConfigStore::new(&self.platform).propose(&mut this.history, &proposal);
-        if let ProposalOutcome::Accepted(revision) = verdict {
-            let before = self.accepted.insert(revision, change_id);
-            assert_eq!(before, None, "revision {revision} was accepted twice");
+        let outcome = ConfigStore::new(&self.platform).propose(&mut this.history, &proposal);
+        if let ProposalOutcome::Accepted(revision) = outcome {
+            let previous = self.accepted.insert(revision, change_id);
+            assert_eq!(previous, None, "revision {revision} was accepted twice");
         }
     }
 
@@ -317,13 +322,15 @@
         match source.entries_after(theirs) {
             Some(entries) => {
                 for entry in &entries {
-                    target.accept(entry).expect("entries of a peer follow");
+                    target
+                        .accept(entry)
+                        .expect("entries of a peer follow this history");
                 }
             }
             None => {
                 target
                     .install(&source.snapshot())
-                    .expect("a peer's snapshot is whole");
+                    .expect("a peer's snapshot is valid");
             }
         }
     }
@@ -336,12 +343,12 @@
                 "{} went from revision {before} to {after}",
                 host.name
             );
-            // What operators were told of is what is in force, on every host.
+            // An accepted change has the same revision on every host that applied the change.
             for (revision, change) in self.accepted.range(..=after) {
                 let known = host.history.find(change).map(|entry| entry.revision);
                 assert!(
                     known.is_none_or(|known| known == *revision),
-                    "{change} moved"
+                    "{change} has another revision"
                 );
             }
         }
@@ -360,15 +367,15 @@
             assert_eq!(
                 by_revision[&host.history.revision()],
                 digest,
-                "two histories of one revision"
+                "two hosts have different histories of one revision"
             );
         }
     }
 }
 
-struct Machine;
+struct Deployment;
 
-impl StateMachineTest for Machine {
+impl StateMachineTest for Deployment {
     type SystemUnderTest = World;
     type Reference = Reference;
 
@@ -393,10 +400,10 @@
             .map(|host| host.history.revision())
             .collect();
         match step {
-            Step::Fault(fault) => world.platform.set(fault),
+            Step::Fault(fault) => world.platform.set_fault(fault),
             Step::Claim { host, operation } => world.claim(host, operation),
             Step::Dispatch { host, operation } => {
-                if let Some(attempt) = world.hosts[host].held.remove(&operation) {
+                if let Some(attempt) = world.hosts[host].claimed.remove(&operation) {
                     world.run(id(operation));
                     if let Some(ending) = receipt() {
                         world.hosts[host]
@@ -407,7 +414,7 @@
                 }
             }
             Step::Shed { host, operation } => {
-                if let Some(attempt) = world.hosts[host].held.remove(&operation) {
+                if let Some(attempt) = world.hosts[host].claimed.remove(&operation) {
                     world.hosts[host].spent.release(&id(operation));
                     world.finish(host, operation, attempt, None);
                 }
@@ -433,15 +440,15 @@
                 let snapshot = world.hosts[host].history.snapshot();
                 world.snapshots.push(snapshot);
             }
-            Step::TakeSnapshot { message, to } if !world.snapshots.is_empty() => {
+            Step::DeliverSnapshot { message, to } if !world.snapshots.is_empty() => {
                 let message = message % world.snapshots.len();
                 let snapshot = world.snapshots[message].clone();
                 world.hosts[to]
                     .history
                     .install(&snapshot)
-                    .expect("it is whole");
+                    .expect("the snapshot is valid");
             }
-            Step::TakeSnapshot { .. } => {}
+            Step::DeliverSnapshot { .. } => {}
         }
         world.check(&before);
         world
@@ -464,7 +471,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn nothing_runs_twice_and_nothing_reverts(sequential 1..120 => Machine);
+    fn no_operation_runs_twice_and_no_revision_reverts(sequential 1..120 => Deployment);
 }
 
 #[test]
