--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,13 +1,13 @@
-//! The time by which ages are judged: it goes on while the machine is suspended.
+//! A monotonic clock that continues while the machine is suspended.
 //!
-//! `std::time::Instant` and the runtime's timers stand still meanwhile, so that whatever a host
-//! believes, leases or was told to wait for would be too young by the time of the suspension.
-//! Moments of this clock are `Instant`s of their own time line: compare them with [`now`], and
-//! wait for them by [`remaining`], never by a timer's deadline.
+//! `std::time::Instant` and the runtime's timers stop during a suspension. Measured with them, the
+//! age of a host's known state, leases and waiting times would be too small by the time of the
+//! suspension. The `Instant`s of this clock belong to a separate time line: compare them only with
+//! [`now`], and sleep for [`remaining`] instead of until a timer's deadline.
 //!
 //! ```
-//! let begun = clock::now();
-//! assert!(clock::elapsed(begun) <= clock::elapsed(begun));
+//! let start = clock::now();
+//! assert!(clock::elapsed(start) <= clock::elapsed(start));
 //! ```
 
 mod source;
@@ -19,18 +19,18 @@
 pub use source::TimeSource;
 pub use suspension_detector::SuspensionDetector;
 
-/// The process's clock.
+/// The clock of the process.
 struct Clock {
     source: Box<dyn TimeSource>,
-    /// The moment of this clock at which `source` was at `begun`.
+    /// Instant of this clock at which `source` returned `source_origin`.
     origin: Instant,
-    begun: Duration,
+    source_origin: Duration,
 }
 
 impl Clock {
     fn new(source: Box<dyn TimeSource>) -> Self {
         Clock {
-            begun: source.since_boot(),
+            source_origin: source.since_boot(),
             origin: Instant::now(),
             source,
         }
@@ -39,24 +39,28 @@
 
 static CLOCK: OnceLock<Clock> = OnceLock::new();
 
-/// This moment. It never goes back.
+/// Returns the current time, which never decreases.
 pub fn now() -> Instant {
-    let clock = CLOCK.get_or_init(|| Clock::new(source::of_machine()));
-    clock.origin + clock.source.since_boot().saturating_sub(clock.begun)
+    let clock = CLOCK.get_or_init(|| Clock::new(source::system_source()));
+    clock.origin
+        + clock
+            .source
+            .since_boot()
+            .saturating_sub(clock.source_origin)
 }
 
-/// Time since a moment of this clock; zero where it is yet to come.
+/// Returns the time since an instant of this clock; zero if the instant is in the future.
 pub fn elapsed(since: Instant) -> Duration {
     now().saturating_duration_since(since)
 }
 
-/// Time until a moment of this clock; zero once it has come.
+/// Returns the time until an instant of this clock; zero if the instant is in the past.
 pub fn remaining(until: Instant) -> Duration {
     until.saturating_duration_since(now())
 }
 
-/// Has the process read another source of time, as tests do; false where the clock has been
-/// read before, and nothing changes.
+/// Sets the time source of the process, for tests. Returns false, without effect, if the clock was
+/// already read or installed.
 pub fn install(source: Box<dyn TimeSource>) -> bool {
     CLOCK.set(Clock::new(source)).is_ok()
 }
--- a/crates/clock/src/source.rs
+++ b/crates/clock/src/source.rs
@@ -1,13 +1,13 @@
-//! Where the time comes from.
+//! Sources of time for the clock.
 
 use std::time::{Duration, Instant};
 
 use nix::errno::Errno;
 use nix::time::{ClockId, clock_gettime};
 
-/// Tells the time since some moment, that of suspensions included. It never goes back.
+/// A source of time that includes suspensions of the machine and never decreases.
 pub trait TimeSource: Send + Sync {
-    /// Time since that moment.
+    /// Returns the time since a fixed instant, such as the boot of the machine.
     fn since_boot(&self) -> Duration;
 }
 
@@ -21,16 +21,16 @@
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from)
 }
 
-/// The machine's time since it was booted; that of the steady clock, which stands still while the
-/// machine is suspended, where it has no other.
-pub(crate) fn of_machine() -> Box<dyn TimeSource> {
+/// Returns a source of the time since the machine was booted. If the machine has no such clock,
+/// returns one based on `Instant`, which stops while the machine is suspended.
+pub(crate) fn system_source() -> Box<dyn TimeSource> {
     match read_boot() {
-        // It has been read once, so that it can be read again.
+        // The clock was read successfully once, so later reads do not fail.
         Ok(_) => Box::new(|| read_boot().unwrap_or_default()),
         Err(error) => {
             tracing::warn!(event = "suspensions_not_counted", %error);
-            let begun = Instant::now();
-            Box::new(move || begun.elapsed())
+            let start = Instant::now();
+            Box::new(move || start.elapsed())
         }
     }
 }
--- a/crates/clock/src/suspension_detector.rs
+++ b/crates/clock/src/suspension_detector.rs
@@ -1,30 +1,32 @@
-//! Finds out that the machine was suspended.
+//! Detects that the machine was suspended.
 
 use std::time::{Duration, Instant};
 
-/// Difference of the two clocks up to which they are taken to agree: they are not read at the
-/// same moment.
-const AGREE: Duration = Duration::from_millis(100);
+/// Difference between the two clocks that is not counted as a suspension, since the clocks are not
+/// read at exactly the same time.
+const TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Compares this clock with the steady one, which stands still while the machine is suspended.
+/// Compares this clock with the monotonic clock of the system, which stops while the machine is
+/// suspended.
 #[derive(Debug)]
 pub struct SuspensionDetector {
-    steady: Instant,
+    monotonic: Instant,
     now: Instant,
 }
 
 impl SuspensionDetector {
-    /// Begins at a moment of both clocks.
-    pub fn new(steady: Instant, now: Instant) -> Self {
-        SuspensionDetector { steady, now }
+    /// Creates a detector from the current time of both clocks.
+    pub fn new(monotonic: Instant, now: Instant) -> Self {
+        SuspensionDetector { monotonic, now }
     }
 
-    /// Time for which the machine was suspended since the last look; none where it was not.
-    pub fn check(&mut self, steady: Instant, now: Instant) -> Option<Duration> {
-        let passed = now.saturating_duration_since(self.now);
-        let counted = steady.saturating_duration_since(self.steady);
-        *self = SuspensionDetector { steady, now };
-        let suspended = passed.saturating_sub(counted);
-        (suspended > AGREE).then_some(suspended)
+    /// Returns the time for which the machine was suspended since the last check; none if it was
+    /// not suspended.
+    pub fn check(&mut self, monotonic: Instant, now: Instant) -> Option<Duration> {
+        let elapsed = now.saturating_duration_since(self.now);
+        let monotonic_elapsed = monotonic.saturating_duration_since(self.monotonic);
+        *self = SuspensionDetector { monotonic, now };
+        let suspended = elapsed.saturating_sub(monotonic_elapsed);
+        (suspended > TOLERANCE).then_some(suspended)
     }
 }
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Ages count the time for which the machine is suspended.
+//! Ages include the time for which the machine was suspended.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,12 +8,15 @@
 use rstest::rstest;
 
 #[test]
-fn ages_count_a_suspension() {
+fn ages_include_a_suspension() {
     let suspended_ms = Arc::new(AtomicU64::default());
     let (begun, suspended) = (Instant::now(), Arc::clone(&suspended_ms));
     let source = move || begun.elapsed() + Duration::from_millis(suspended.load(Ordering::Relaxed));
     assert!(clock::install(Box::new(source.clone())));
-    assert!(!clock::install(Box::new(source)), "it is in use");
+    assert!(
+        !clock::install(Box::new(source)),
+        "the clock already has a source"
+    );
     let begun = clock::now();
     let later = begun + Duration::from_secs(60);
     assert!(clock::remaining(later) > Duration::from_secs(5));
@@ -27,16 +30,16 @@
 #[case::read_apart(1_000, 1_040, None)]
 #[case::suspended(1_000, 6_000, Some(5_000))]
 #[case::steady_ahead(1_200, 1_000, None)]
-fn a_suspension_is_what_the_steady_clock_lacks(
-    #[case] steady_ms: u64,
-    #[case] passed_ms: u64,
+fn a_suspension_is_the_difference_to_the_monotonic_clock(
+    #[case] monotonic_ms: u64,
+    #[case] elapsed_ms: u64,
     #[case] suspended_ms: Option<u64>,
 ) {
     let begun = Instant::now();
-    let mut suspensions = SuspensionDetector::new(begun, begun);
+    let mut detector = SuspensionDetector::new(begun, begun);
     let after = |ms| begun + Duration::from_millis(ms);
-    let suspended = suspensions.check(after(steady_ms), after(passed_ms));
+    let suspended = detector.check(after(monotonic_ms), after(elapsed_ms));
     assert_eq!(suspended, suspended_ms.map(Duration::from_millis));
-    let next = suspensions.check(after(steady_ms + 10), after(passed_ms + 10));
-    assert_eq!(next, None, "it is told once");
+    let next = detector.check(after(monotonic_ms + 10), after(elapsed_ms + 10));
+    assert_eq!(next, None, "a suspension is reported once");
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side, through `ureq`.
+//! Client for operators, based on `ureq`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,32 +11,32 @@
 use crate::messages::{InForce, Status};
 use crate::{CHANGES_PATH, DOCUMENT_PATH, DUMP_PATH, METRICS_PATH, STATUS_PATH};
 
-const ANSWER_LIMIT_BYTES: u64 = 512 << 20;
+const MAX_ANSWER_BYTES: u64 = 512 << 20;
 
-/// Why a host could not be asked.
+/// Why a request to a host failed.
 #[derive(Debug, Display, Error)]
 pub enum ClientError {
-    /// It can't be reached, or did not answer.
+    /// The host can't be reached, did not answer, or sent an invalid answer.
     #[display("{address}: {reason}")]
     Unreachable {
-        /// The host's operator address.
+        /// Operator address of the host.
         address: SocketAddr,
-        /// Why.
+        /// Cause of the error.
         reason: String,
     },
-    /// It refused the request.
+    /// The host refused the request.
     #[display("{address} answered {status}: {text}")]
     Refused {
-        /// The host's operator address.
+        /// Operator address of the host.
         address: SocketAddr,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// What it said.
+        /// Body of the answer.
         text: String,
     },
 }
 
-/// Asks one host.
+/// Client of the operator endpoint of one host.
 #[derive(Debug, Clone)]
 pub struct OperatorClient {
     agent: Agent,
@@ -44,7 +44,8 @@
 }
 
 impl OperatorClient {
-    /// A client of the host with this operator address.
+    /// Creates a client; `address` is the operator address of the host, `timeout` limits the time of
+    /// every request.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(timeout))
@@ -56,29 +57,29 @@
         }
     }
 
-    /// The host's status.
+    /// Fetches the status of the host.
     pub fn status(&self) -> Result<Status, ClientError> {
         self.get(STATUS_PATH)
     }
 
-    /// The host's whole state.
+    /// Fetches the complete state of the host, for diagnosis.
     pub fn dump(&self) -> Result<serde_json::Value, ClientError> {
         self.get(DUMP_PATH)
     }
 
-    /// The configuration in force on the host.
+    /// Fetches the configuration in force on the host.
     pub fn document(&self) -> Result<InForce, ClientError> {
         self.get(DOCUMENT_PATH)
     }
 
-    /// The host's metrics, as Prometheus text.
+    /// Fetches the metrics of the host, in the Prometheus text format.
     pub fn metrics(&self) -> Result<String, ClientError> {
         let answer = self.agent.get(self.url(METRICS_PATH)).call();
         let bytes = self.read(answer)?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Proposes a change. An error means that its outcome is not known.
+    /// Proposes a change. After an error the outcome of the proposal is unknown.
     pub fn propose(&self, proposal: &Proposal) -> Result<ProposalOutcome, ClientError> {
         let answer = self.agent.post(self.url(CHANGES_PATH)).send_json(proposal);
         self.parse(answer)
@@ -99,7 +100,7 @@
         let bytes = answer
             .body_mut()
             .with_config()
-            .limit(ANSWER_LIMIT_BYTES)
+            .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
             .map_err(|error| self.unreachable(&error))?;
         let status = answer.status().as_u16();
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -1,4 +1,4 @@
-//! What a host tells operators.
+//! Answers of a host to operators.
 
 use serde::{Deserialize, Serialize};
 use steering::Document;
@@ -9,71 +9,71 @@
 /// The configuration in force on a host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Its revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// The configuration.
+    /// The configuration itself.
     pub document: Document,
 }
 
-/// A host's status.
+/// Status of a host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its start.
+    /// Incarnation of the host: one run of its process.
     pub incarnation: Incarnation,
-    /// Revision in force.
+    /// Configuration revision in force.
     pub revision: Revision,
-    /// Digest of that revision.
+    /// Digest of the history up to the revision in force.
     pub digest: String,
-    /// Whether it is leaving.
+    /// Whether the host is leaving the deployment.
     pub leaving: bool,
-    /// Time since the platform last answered, in milliseconds; none: never.
+    /// Time since the platform last answered, in milliseconds; none if it never did.
     pub store_silent_ms: Option<u64>,
-    /// Requests in flight on it.
+    /// Number of requests in flight on the host.
     pub in_flight: u32,
-    /// Hosts that it knows of.
+    /// Hosts known to this host.
     pub hosts: Vec<HostEntry>,
-    /// Load of each zone as it believes.
+    /// Load of each zone, as known to this host.
     pub zones: Vec<ZoneLoad>,
-    /// Pools that it admits to.
+    /// Pools to which this host admits requests.
     pub pools: Vec<PoolStatus>,
 }
 
 /// Load of a zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneLoad {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneName,
     /// Age of the figures, in milliseconds.
     pub age_ms: u64,
-    /// Load of its services.
+    /// Load of the services in the zone.
     pub services: Vec<ServiceLoad>,
 }
 
-/// A pool that a host admits to.
+/// A pool to which a host admits requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Its name.
+    /// Name of the pool.
     pub pool: String,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: u32,
-    /// Its upstreams.
+    /// Upstreams of the pool.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// An upstream as its owner sees it.
+/// An upstream, as known to the host that owns it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamName,
-    /// Requests in flight from this host.
+    /// Number of requests in flight from this host.
     pub in_flight: u32,
-    /// Slots that may be used now.
+    /// Number of slots that may be used at present.
     pub allowed: u32,
-    /// Whether it takes new work.
+    /// Whether the upstream can be sent new requests.
     pub usable: bool,
     /// Smoothed time to first byte, in milliseconds.
     pub latency_ms: f64,
--- a/crates/operator/src/server.rs
+++ b/crates/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The endpoint, served by `tiny_http` on a thread of its own.
+//! Operator endpoint, served by `tiny_http` on its own thread.
 
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -12,30 +12,30 @@
 use crate::messages::{InForce, Status};
 use crate::{CHANGES_PATH, DOCUMENT_PATH, DUMP_PATH, METRICS_PATH, STATUS_PATH};
 
-const PROPOSAL_LIMIT_BYTES: u64 = 512 << 20;
+const MAX_PROPOSAL_BYTES: u64 = 512 << 20;
 
-/// What a host tells and takes; called on the endpoint's thread.
+/// Answers the requests of operators; called on the endpoint's thread.
 pub trait OperatorHandler: Send + Sync {
-    /// The host's status.
+    /// Returns the status of the host; none if the host is shutting down.
     fn status(&self) -> Option<Status>;
-    /// The host's whole state.
+    /// Returns the complete state of the host; none if the host is shutting down.
     fn dump(&self) -> Option<serde_json::Value>;
-    /// The configuration in force.
+    /// Returns the configuration in force; none if the host is shutting down.
     fn document(&self) -> Option<InForce>;
-    /// Metrics as Prometheus text.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics(&self) -> String;
     /// Proposes a change to the platform.
     fn propose(&self, proposal: Proposal) -> ProposalOutcome;
 }
 
-/// The endpoint of a host; it ends when dropped.
+/// Operator endpoint of a host; stops when dropped.
 pub struct OperatorServer {
     server: Arc<Server>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl OperatorServer {
-    /// Serves on a socket.
+    /// Starts serving on a socket.
     pub fn start(listener: TcpListener, handler: Arc<dyn OperatorHandler>) -> io::Result<Self> {
         let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
         let server = Arc::new(server);
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the endpoint listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.server.server_addr().to_ip()
     }
@@ -59,7 +59,7 @@
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
-            // A panic there was reported by its own hook.
+            // A panic of the thread was already reported by the panic hook.
             let _ = thread.join();
         }
     }
@@ -79,34 +79,34 @@
 fn answer(request: &mut Request, handler: &dyn OperatorHandler) -> Answer {
     let path = request.url().split('?').next().unwrap_or("").to_owned();
     match (request.method(), path.as_str()) {
-        (Method::Get, STATUS_PATH) => found(handler.status()),
-        (Method::Get, DUMP_PATH) => found(handler.dump()),
-        (Method::Get, DOCUMENT_PATH) => found(handler.document()),
+        (Method::Get, STATUS_PATH) => optional_json(handler.status()),
+        (Method::Get, DUMP_PATH) => optional_json(handler.dump()),
+        (Method::Get, DOCUMENT_PATH) => optional_json(handler.document()),
         (Method::Get, METRICS_PATH) => Response::from_string(handler.metrics()),
-        (Method::Post, CHANGES_PATH) => change(request, handler),
-        _ => problem(404, &format!("no `{path}` here")),
+        (Method::Post, CHANGES_PATH) => propose(request, handler),
+        _ => error_answer(404, &format!("no `{path}` here")),
     }
 }
 
-fn change(request: &mut Request, handler: &dyn OperatorHandler) -> Answer {
+fn propose(request: &mut Request, handler: &dyn OperatorHandler) -> Answer {
     let mut body = Vec::new();
     let read = request
         .as_reader()
-        .take(PROPOSAL_LIMIT_BYTES)
+        .take(MAX_PROPOSAL_BYTES)
         .read_to_end(&mut body);
     if let Err(error) = read {
-        return problem(400, &error.to_string());
+        return error_answer(400, &error.to_string());
     }
     match serde_json::from_slice(&body) {
         Ok(proposal) => json(&handler.propose(proposal)),
-        Err(error) => problem(400, &error.to_string()),
+        Err(error) => error_answer(400, &error.to_string()),
     }
 }
 
-fn found<T: Serialize>(value: Option<T>) -> Answer {
+fn optional_json<T: Serialize>(value: Option<T>) -> Answer {
     match value {
         Some(value) => json(&value),
-        None => problem(503, "the host is ending"),
+        None => error_answer(503, "the host is ending"),
     }
 }
 
@@ -116,6 +116,6 @@
     Response::from_data(body).with_header(header)
 }
 
-fn problem(status: u16, text: &str) -> Answer {
+fn error_answer(status: u16, text: &str) -> Answer {
     Response::from_string(text).with_status_code(status)
 }
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: those that hold something until they end, and those that time out.
+//! Bodies that keep a value alive, that have limits on size and time, or that are buffered.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,18 +10,18 @@
 use http_body_util::BodyExt;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// A body that holds a value until it ends or is dropped.
+/// A body that keeps a value alive until the body ends or is dropped.
 pub struct GuardedBody<B, T> {
     body: B,
-    held: Option<T>,
+    guard: Option<T>,
 }
 
 impl<B, T> GuardedBody<B, T> {
-    /// Holds `held` with the body.
-    pub fn new(body: B, held: T) -> Self {
+    /// Creates a body that drops `guard` at its end.
+    pub fn new(body: B, guard: T) -> Self {
         GuardedBody {
             body,
-            held: Some(held),
+            guard: Some(guard),
         }
     }
 }
@@ -40,7 +40,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(context));
         if frame.is_none() {
-            self.held = None;
+            self.guard = None;
         }
         Poll::Ready(frame)
     }
@@ -54,33 +54,33 @@
     }
 }
 
-/// A body that fails where its sender is silent for too long, or sends too much.
+/// A body that fails if its sender pauses for too long or sends too many bytes.
 pub struct BoundedBody<B> {
     body: B,
-    left: u64,
-    stall: Duration,
+    remaining_bytes: u64,
+    stall_timeout: Duration,
     timer: Pin<Box<Sleep>>,
 }
 
 impl<B> BoundedBody<B> {
-    /// At most `limit` bytes, at most `stall` between two parts.
-    pub fn new(body: B, limit: u64, stall: Duration) -> Self {
+    /// Limits `body` to `max_bytes`, and to a pause of `stall_timeout` between two frames.
+    pub fn new(body: B, max_bytes: u64, stall_timeout: Duration) -> Self {
         BoundedBody {
             body,
-            left: limit,
-            stall,
-            timer: Box::pin(sleep(stall)),
+            remaining_bytes: max_bytes,
+            stall_timeout,
+            timer: Box::pin(sleep(stall_timeout)),
         }
     }
 }
 
-/// Why a body of a caller was given up.
+/// Why reading a caller's body was aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum BodyLimitError {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[display("the body is too large")]
     TooLarge,
-    /// The sender was silent for too long.
+    /// The sender paused for too long.
     #[display("the body came too slowly")]
     Stalled,
 }
@@ -101,16 +101,16 @@
             ready!(self.timer.as_mut().poll(context));
             return Poll::Ready(Some(Err(BodyLimitError::Stalled.into())));
         };
-        let next = Instant::now() + self.stall;
-        self.timer.as_mut().reset(next);
+        let stall_deadline = Instant::now() + self.stall_timeout;
+        self.timer.as_mut().reset(stall_deadline);
         let Some(Ok(frame)) = frame else {
             return Poll::Ready(frame.map(|error| error.map_err(Into::into)));
         };
         let size = frame.data_ref().map_or(0, |data| data.len() as u64);
-        if size > self.left {
+        if size > self.remaining_bytes {
             return Poll::Ready(Some(Err(BodyLimitError::TooLarge.into())));
         }
-        self.left -= size;
+        self.remaining_bytes -= size;
         Poll::Ready(Some(Ok(frame)))
     }
 
@@ -123,13 +123,13 @@
     }
 }
 
-/// What has come of a body before the rest.
-struct Resumed {
+/// A body whose first bytes were already read.
+struct ResumedBody {
     first: Option<Bytes>,
     rest: Body,
 }
 
-impl HttpBody for Resumed {
+impl HttpBody for ResumedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -159,46 +159,46 @@
     }
 }
 
-/// A body that was read as far as is held.
+/// Result of [`buffer_body`].
 pub enum BufferedBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// More than is held; the body from its start.
+    /// A body larger than the buffer, from its first byte.
     Streaming(Body),
 }
 
-/// Reads a body, and holds it whole where it has at most `limit` bytes.
-pub async fn buffer_body(mut body: Body, limit: usize) -> Result<BufferedBody, BodyError> {
-    let mut held = BytesMut::new();
-    if body.size_hint().lower() > limit as u64 {
+/// Reads a body into memory if it has at most `max_bytes` bytes.
+pub async fn buffer_body(mut body: Body, max_bytes: usize) -> Result<BufferedBody, BodyError> {
+    let mut buffer = BytesMut::new();
+    if body.size_hint().lower() > max_bytes as u64 {
         return Ok(BufferedBody::Streaming(body));
     }
     while let Some(frame) = body.frame().await {
-        // Trailers are dropped: neither side of the system promises them.
+        // Trailers are dropped; neither callers nor upstreams rely on them.
         if let Ok(data) = frame?.into_data() {
-            held.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if held.len() > limit {
-            let resumed = Resumed {
-                first: Some(held.freeze()),
+        if buffer.len() > max_bytes {
+            let resumed = ResumedBody {
+                first: Some(buffer.freeze()),
                 rest: body,
             };
             return Ok(BufferedBody::Streaming(resumed.boxed_unsync()));
         }
     }
-    Ok(BufferedBody::Whole(held.freeze()))
+    Ok(BufferedBody::Whole(buffer.freeze()))
 }
 
-/// The body of a request, to be sent once or more.
+/// The body of a request that may be sent more than once.
 pub enum RequestBody {
-    /// Held whole.
+    /// The complete body, which can be sent again.
     Whole(Bytes),
-    /// Passed on as it comes; none once it has been sent.
+    /// A body that is forwarded while it arrives; none after it was sent.
     Streaming(Option<Body>),
 }
 
 impl RequestBody {
-    /// A body to send; none where it can't be sent again.
+    /// Returns a body to send; none if the body can't be sent again.
     pub fn take(&mut self) -> Option<Body> {
         match self {
             RequestBody::Whole(bytes) => Some(full(bytes.clone())),
@@ -206,7 +206,7 @@
         }
     }
 
-    /// All of it, where it is held whole.
+    /// Returns the complete body; none if the body is not buffered.
     pub fn buffered(&self) -> Option<&[u8]> {
         match self {
             RequestBody::Whole(bytes) => Some(bytes),
@@ -214,14 +214,14 @@
         }
     }
 
-    /// A body that was not sent.
+    /// Restores a body that was taken but not sent.
     pub fn put_back(&mut self, unsent: Body) {
         if let RequestBody::Streaming(body) = self {
             *body = Some(unsent);
         }
     }
 
-    /// A copy, where it is held whole.
+    /// Returns a copy; none if the body is not buffered.
     pub fn copy(&self) -> Option<RequestBody> {
         match self {
             RequestBody::Whole(bytes) => Some(RequestBody::Whole(bytes.clone())),
@@ -231,8 +231,8 @@
 }
 
 impl From<BufferedBody> for RequestBody {
-    fn from(held: BufferedBody) -> Self {
-        match held {
+    fn from(buffered: BufferedBody) -> Self {
+        match buffered {
             BufferedBody::Whole(bytes) => RequestBody::Whole(bytes),
             BufferedBody::Streaming(body) => RequestBody::Streaming(Some(body)),
         }
--- a/crates/upstream/src/connections.rs
+++ b/crates/upstream/src/connections.rs
@@ -1,4 +1,4 @@
-//! HTTP/1 connections by address, counted and reused.
+//! HTTP/1 connection pools by address.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -18,46 +18,51 @@
 use crate::headers::keep_alive;
 use crate::{Body, TrackedBody};
 
-/// A host that has vanished answers nothing at all; others are asked instead.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// Time before an upstream closes an idle connection, as it has said, from which on nothing is
-/// sent on it: longer than a way between regions. What meets the close is lost.
+/// Maximum time to open a connection. A host that has vanished does not answer at all, and other
+/// hosts are tried instead.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time for which an idle connection is kept.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
+/// Time before the close of an idle connection, as stated by the upstream, during which the
+/// connection is not used. Longer than the one-way delay between regions, since a request that
+/// arrives after the close is lost.
 const CLOSE_MARGIN: Duration = Duration::from_millis(300);
-const RECENT: Duration = Duration::from_millis(500);
+/// Maximum idle time of a connection for [`Reuse::Recent`].
+const MAX_RECENT_IDLE_TIME: Duration = Duration::from_millis(500);
 const MAX_HEADERS: usize = 128;
-/// Buffer for what is read, in bytes. hyper's own grows with large answers, and hosts
-/// pay for their peak of memory.
-const READ_BYTES: usize = 8 << 10;
+/// Size of the read buffer, in bytes. The default buffer of hyper grows with large answers, and
+/// the peak memory of a host counts.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
 /// Which idle connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any: a request that is lost with a closing connection can be repeated.
+    /// Any idle connection, for requests that can be repeated if they are lost with a closing
+    /// connection.
     Any,
-    /// Only one that was in use a moment ago, else a new one.
+    /// Only a connection that was in use during the last 500 ms, otherwise a new one.
     Recent,
 }
 
 /// Why a request got no answer.
 #[derive(Debug, Display, Error)]
 pub enum SendError {
-    /// Nothing of it was sent; it is returned where its body is still whole.
+    /// Nothing of the request was sent.
     #[display("not sent: {reason}")]
     NotSent {
-        /// Why.
+        /// Cause of the error.
         reason: String,
-        /// The request.
+        /// The request; none if its body was already consumed.
         #[error(not(source))]
         request: Option<Box<Request<Body>>>,
     },
-    /// It was sent, at least in part.
+    /// The request was sent, at least in part.
     #[display("sent, no answer: {reason}")]
     Lost {
-        /// Why.
+        /// Cause of the error.
         reason: String,
     },
-    /// The deadline passed after it was sent, at least in part.
+    /// The deadline passed after the request was sent, at least in part.
     #[display("sent, no answer before the deadline")]
     Timeout,
 }
@@ -72,21 +77,21 @@
 }
 
 /// An open connection that is not in use.
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
-    open: Open,
+    open: OpenConnection,
     since: Instant,
-    /// Until when it may be used again.
-    until: Instant,
+    /// Instant after which the connection must not be used.
+    expires_at: Instant,
 }
 
 /// Counts an open connection and closes it when dropped.
-pub(crate) struct Open {
+pub(crate) struct OpenConnection {
     count: Arc<AtomicU32>,
     task: AbortHandle,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.task.abort();
         self.count.fetch_sub(1, Ordering::AcqRel);
@@ -95,12 +100,12 @@
 
 #[derive(Default)]
 struct Peer {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     /// Connections open or being opened, idle ones included.
     open: Arc<AtomicU32>,
 }
 
-/// All connections of a process that leave it.
+/// All outgoing HTTP connections of a process. Clones share the connections.
 #[derive(Clone, Default)]
 pub struct Connections {
     peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
@@ -111,13 +116,13 @@
     connections: Connections,
     address: SocketAddr,
     sender: SendRequest<Body>,
-    open: Open,
-    /// Time for which it may rest before the next request.
-    idle_limit: Duration,
+    open: OpenConnection,
+    /// Maximum idle time before the next request.
+    max_idle_time: Duration,
 }
 
 impl Lease {
-    /// Sends a request, and waits for the head of its answer.
+    /// Sends a request, and waits for the headers of the answer.
     pub async fn send(
         mut self,
         request: Request<Body>,
@@ -130,8 +135,10 @@
         .await;
         match answer {
             Ok(Ok(answer)) => {
-                if let Some(told) = keep_alive(answer.headers()) {
-                    self.idle_limit = told.saturating_sub(CLOSE_MARGIN).min(IDLE_LIMIT);
+                if let Some(keep_alive_time) = keep_alive(answer.headers()) {
+                    self.max_idle_time = keep_alive_time
+                        .saturating_sub(CLOSE_MARGIN)
+                        .min(MAX_IDLE_TIME);
                 }
                 Ok(answer.map(|body| TrackedBody::new(body, self)))
             }
@@ -145,14 +152,14 @@
         }
     }
 
-    /// Gives the connection back for the next request.
+    /// Returns the connection for the next request.
     pub fn give_back(self) {
         let since = clock::now();
-        let idle = Idle {
+        let idle = IdleConnection {
             sender: self.sender,
             open: self.open,
             since,
-            until: since + self.idle_limit,
+            expires_at: since + self.max_idle_time,
         };
         let mut peers = self.connections.lock();
         peers.entry(self.address).or_default().idle.push(idle);
@@ -160,35 +167,42 @@
 }
 
 impl Connections {
-    /// Sends a request, at most once, and waits for the head of its answer.
+    /// Sends a request, at most once, and waits for the headers of the answer.
     ///
-    /// At most `limit` connections to the address are open at the same time.
-    /// Dropping the answer's body before its end closes the connection.
+    /// At most `max_connections` to the address are open at the same time. Dropping the answer's
+    /// body before its end closes the connection.
     pub async fn send(
         &self,
         address: SocketAddr,
-        limit: u32,
+        max_connections: u32,
         reuse: Reuse,
         request: Request<Body>,
         deadline: Instant,
     ) -> Result<Response<TrackedBody>, SendError> {
-        match self.connect(address, limit, reuse, deadline).await {
+        match self
+            .connect(address, max_connections, reuse, deadline)
+            .await
+        {
             Ok(lease) => lease.send(request, deadline).await,
             Err(reason) => Err(SendError::not_sent(reason, request)),
         }
     }
 
-    /// A connection for one request; why there is none, where there is none.
+    /// Returns a connection for one request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if there is no connection before the deadline.
     pub async fn connect(
         &self,
         address: SocketAddr,
-        limit: u32,
+        max_connections: u32,
         reuse: Reuse,
         deadline: Instant,
     ) -> Result<Lease, String> {
         let lease = timeout(
             clock::remaining(deadline),
-            self.lease(address, limit, reuse),
+            self.lease(address, max_connections, reuse),
         )
         .await;
         match lease {
@@ -197,15 +211,15 @@
         }
     }
 
-    /// Whether nobody listens at an address any more: a new connection is refused. One that
-    /// is not answered says nothing.
+    /// Whether a new connection to the address is refused, so that nothing listens there. Returns
+    /// false if the connection attempt gets no answer.
     pub async fn is_refused(&self, address: SocketAddr) -> bool {
-        let connected = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
         matches!(connected, Ok(Err(error)) if refused(&error))
     }
 
-    /// Connections open to an address.
+    /// Returns the number of connections to an address, including idle ones.
     pub fn open(&self, address: SocketAddr) -> u32 {
         let peers = self.lock();
         let open = peers
@@ -214,45 +228,55 @@
         open.unwrap_or(0)
     }
 
-    async fn lease(&self, address: SocketAddr, limit: u32, reuse: Reuse) -> std::io::Result<Lease> {
+    async fn lease(
+        &self,
+        address: SocketAddr,
+        max_connections: u32,
+        reuse: Reuse,
+    ) -> std::io::Result<Lease> {
         while let Some(mut idle) = self.take_idle(address, reuse) {
             if idle.sender.ready().await.is_ok() {
-                return Ok(self.leased(address, idle.sender, idle.open));
+                return Ok(self.new_lease(address, idle.sender, idle.open));
             }
         }
-        let count = self.count_one(address, limit)?;
-        let connected = timeout(CONNECT_LIMIT, connect(address)).await;
-        let late = || Err(std::io::ErrorKind::TimedOut.into());
-        let (sender, task) = match connected.unwrap_or_else(|_| late()) {
+        let count = self.reserve(address, max_connections)?;
+        let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
+        let timed_out = || Err(std::io::ErrorKind::TimedOut.into());
+        let (sender, task) = match connected.unwrap_or_else(|_| timed_out()) {
             Ok(connected) => connected,
             Err(error) => {
                 count.fetch_sub(1, Ordering::AcqRel);
                 return Err(error);
             }
         };
-        Ok(self.leased(address, sender, Open { count, task }))
+        Ok(self.new_lease(address, sender, OpenConnection { count, task }))
     }
 
-    fn leased(&self, address: SocketAddr, sender: SendRequest<Body>, open: Open) -> Lease {
+    fn new_lease(
+        &self,
+        address: SocketAddr,
+        sender: SendRequest<Body>,
+        open: OpenConnection,
+    ) -> Lease {
         Lease {
             connections: self.clone(),
             address,
             sender,
             open,
-            idle_limit: IDLE_LIMIT,
+            max_idle_time: MAX_IDLE_TIME,
         }
     }
 
-    fn take_idle(&self, address: SocketAddr, reuse: Reuse) -> Option<Idle> {
+    fn take_idle(&self, address: SocketAddr, reuse: Reuse) -> Option<IdleConnection> {
         let oldest = match reuse {
-            Reuse::Any => IDLE_LIMIT,
-            Reuse::Recent => RECENT,
+            Reuse::Any => MAX_IDLE_TIME,
+            Reuse::Recent => MAX_RECENT_IDLE_TIME,
         };
         let mut peers = self.lock();
         let peer = peers.get_mut(&address)?;
         let now = clock::now();
         peer.idle
-            .retain(|idle| idle.until > now && !idle.sender.is_closed());
+            .retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
         let last = peer.idle.last()?;
         if clock::elapsed(last.since) >= oldest {
             return None;
@@ -260,13 +284,18 @@
         peer.idle.pop()
     }
 
-    fn count_one(&self, address: SocketAddr, limit: u32) -> std::io::Result<Arc<AtomicU32>> {
+    /// Counts a new connection; first closes an idle one if all are open.
+    fn reserve(
+        &self,
+        address: SocketAddr,
+        max_connections: u32,
+    ) -> std::io::Result<Arc<AtomicU32>> {
         let mut peers = self.lock();
         let peer = peers.entry(address).or_default();
-        if peer.open.load(Ordering::Acquire) >= limit {
+        if peer.open.load(Ordering::Acquire) >= max_connections {
             peer.idle.pop();
         }
-        if peer.open.load(Ordering::Acquire) >= limit {
+        if peer.open.load(Ordering::Acquire) >= max_connections {
             return Err(std::io::Error::other("all connections are in use"));
         }
         peer.open.fetch_add(1, Ordering::AcqRel);
@@ -283,12 +312,12 @@
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::Builder::new()
         .max_headers(MAX_HEADERS)
-        .read_buf_exact_size(Some(READ_BYTES))
+        .read_buf_exact_size(Some(READ_BUFFER_BYTES))
         .handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
     let task = tokio::spawn(async move {
-        // Its error reaches whoever waits for the answer or reads its body.
+        // Whoever waits for the answer or reads its body gets the error.
         let _ = connection.await;
     });
     Ok((sender, task.abort_handle()))
--- a/crates/upstream/src/headers.rs
+++ b/crates/upstream/src/headers.rs
@@ -1,13 +1,13 @@
-//! Which headers of a message go on to its next recipient.
+//! Selects the headers of a message that are forwarded to its next recipient.
 
 use std::time::Duration;
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Start of the names of headers that are the system's own.
+/// Prefix of the names of headers that stagedeck itself uses.
 const OWN_PREFIX: &str = "stagedeck-";
 
-/// Headers that hold for one connection only (RFC 9110, 7.6.1).
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -20,8 +20,8 @@
     "upgrade",
 ];
 
-/// Time for which the other end keeps an idle connection, where it says so in whole seconds
-/// (RFC 2068, 19.7.1.1).
+/// Returns the time for which the server keeps an idle connection open; none if the server does
+/// not state one in whole seconds (RFC 2068, section 19.7.1.1).
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let values = headers.get_all("keep-alive").iter();
     let parameters = values.filter_map(|value| value.to_str().ok());
@@ -34,21 +34,21 @@
     })
 }
 
-/// A message's headers that go on to its next recipient.
+/// Returns the headers of a message that are forwarded to its next recipient.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let own = name.as_str().starts_with(OWN_PREFIX);
-        if !own && !HOP_BY_HOP.contains(&name.as_str()) && !named.contains(name) {
-            kept.append(name, value.clone());
+        let is_own = name.as_str().starts_with(OWN_PREFIX);
+        if !is_own && !HOP_BY_HOP.contains(&name.as_str()) && !connection_headers.contains(name) {
+            forwarded.append(name, value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,7 +1,7 @@
-//! Dispatch to upstreams, their health and their load reports.
+//! HTTP client for upstreams: pooled connections, load probes, and request and answer bodies.
 //!
-//! The connections are also used between hosts, for relayed requests. Nothing
-//! in here repeats a request by itself.
+//! The connections are also used between hosts, for relayed requests. This crate never retries a
+//! request.
 
 mod body;
 mod connections;
@@ -21,22 +21,22 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 
-/// Any error of a body.
+/// Error while reading a body.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of any request or answer.
+/// Body of a request or an answer.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body of these bytes.
+/// Creates a body from bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Header by which an upstream says that it refused a request without running it.
+/// Header that an upstream sets if it refused a request without running it.
 pub const NOT_RUN_HEADER: &str = "upstream-not-run";
 /// Header with the identity of a request.
 pub const REQUEST_ID_HEADER: &str = "stagedeck-request-id";
-/// Header with the time that is left, in milliseconds.
+/// Header with the time left until the deadline of a request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "stagedeck-deadline-ms";
--- a/crates/upstream/src/probe.rs
+++ b/crates/upstream/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an upstream for its health and load.
+//! Requests the health and load of an upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,54 +11,60 @@
 
 use crate::{Connections, Reuse, SendError, full};
 
-/// Path at which an upstream tells its load as JSON.
+/// Path at which an upstream reports its load, as JSON.
 pub const LOAD_PATH: &str = "/load";
 
-const REPORT_LIMIT_BYTES: usize = 4_096;
+const MAX_REPORT_BYTES: usize = 4_096;
 
-/// Why a probe brought no report.
+/// Why a probe failed.
 #[derive(Debug, Display, Error)]
 pub enum ProbeError {
-    /// No answer.
+    /// The request could not be sent, or got no answer.
     #[display("{_0}")]
     Send(SendError),
-    /// The answer came too late.
-    #[display("the report came too late")]
+    /// The report did not arrive within the time limit.
+    #[display("the report arrived too late")]
     Timeout,
-    /// The answer is not a report.
+    /// The answer could not be decoded as a load report.
     #[display("the answer is not a load report: {_0}")]
     InvalidAnswer(#[error(not(source))] String),
 }
 
-/// Asks once; `limit` connections may be open to the upstream.
+/// Requests a load report once. At most `max_connections` to the upstream may be open, and the
+/// report must arrive within `time_limit`.
 pub async fn probe(
     connections: &Connections,
     address: SocketAddr,
-    limit: u32,
-    within: Duration,
+    max_connections: u32,
+    time_limit: Duration,
 ) -> Result<LoadReport, ProbeError> {
-    match timeout(within, ask(connections, address, limit, within)).await {
+    match timeout(
+        time_limit,
+        request_report(connections, address, max_connections, time_limit),
+    )
+    .await
+    {
         Ok(report) => report,
         Err(_) => Err(ProbeError::Timeout),
     }
 }
 
-async fn ask(
+async fn request_report(
     connections: &Connections,
     address: SocketAddr,
-    limit: u32,
-    within: Duration,
+    max_connections: u32,
+    time_limit: Duration,
 ) -> Result<LoadReport, ProbeError> {
     let request = Request::get(LOAD_PATH)
         .header("host", address.to_string())
         .body(full(""))
         .map_err(|error| ProbeError::InvalidAnswer(error.to_string()))?;
-    let deadline = clock::now() + within;
+    let deadline = clock::now() + time_limit;
     let answer = connections
-        .send(address, limit, Reuse::Any, request, deadline)
+        .send(address, max_connections, Reuse::Any, request, deadline)
         .await
         .map_err(ProbeError::Send)?;
-    let body = Limited::new(answer.into_body(), REPORT_LIMIT_BYTES)
+    let body = Limited::new(answer.into_body(), MAX_REPORT_BYTES)
         .collect()
         .await
         .map_err(|error| ProbeError::InvalidAnswer(error.to_string()))?;
--- a/crates/upstream/src/tracked.rs
+++ b/crates/upstream/src/tracked.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, which holds its connection until it has ended.
+//! The body of an answer, which occupies its connection until it is read to the end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,8 +10,8 @@
 use crate::BodyError;
 use crate::connections::Lease;
 
-/// An answer's body. Read to its end it gives its connection back; dropped
-/// before that it closes it, which cancels the request at the other end.
+/// The body of an answer. At the end of the body, the connection is returned for reuse. If the
+/// body is dropped earlier, the connection is closed, which cancels the request at the server.
 pub struct TrackedBody {
     body: Incoming,
     lease: Option<Lease>,
@@ -24,12 +24,12 @@
             lease: Some(lease),
         };
         if tracked.body.is_end_stream() {
-            tracked.finish();
+            tracked.return_connection();
         }
         tracked
     }
 
-    fn finish(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(lease) = self.lease.take() {
             lease.give_back();
         }
@@ -46,9 +46,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match ready!(Pin::new(&mut self.body).poll_frame(context)) {
             Some(Ok(frame)) => {
-                // The reader of a sized body may never ask for what follows its last byte.
+                // A reader that knows the size of the body may not poll again after the last byte.
                 if self.body.is_end_stream() {
-                    self.finish();
+                    self.return_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -57,7 +57,7 @@
                 Poll::Ready(Some(Err(error.into())))
             }
             None => {
-                self.finish();
+                self.return_connection();
                 Poll::Ready(None)
             }
         }
--- a/crates/upstream/tests/keep_alive.rs
+++ b/crates/upstream/tests/keep_alive.rs
@@ -1,4 +1,4 @@
-//! How long an idle connection is used again, by what its other end has said.
+//! Reuse of idle connections, depending on the keep-alive time that the server states.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use upstream::{Connections, Reuse, full};
 
-/// Longest wait for an answer; no verdict hangs on it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait for an answer; the test result does not depend on this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Serves requests without a body, each with these fields in its answer; counts connections.
-async fn serve(fields: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
+/// Answers requests that have no body, with the given header lines; counts connections.
+async fn serve(headers: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(AtomicU32::new(0));
@@ -24,13 +24,13 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             counted.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(answer(stream, fields));
+            tokio::spawn(answer(stream, headers));
         }
     });
     (address, count)
 }
 
-async fn answer(mut stream: TcpStream, fields: &str) {
+async fn answer(mut stream: TcpStream, headers: &str) {
     let mut bytes = Vec::new();
     while stream
         .read_buf(&mut bytes)
@@ -39,7 +39,7 @@
     {
         if bytes.ends_with(b"\r\n\r\n") {
             bytes.clear();
-            let text = format!("HTTP/1.1 200 OK\r\n{fields}Content-Length: 2\r\n\r\nok");
+            let text = format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\nok");
             let _ = stream.write_all(text.as_bytes()).await;
         }
     }
@@ -54,18 +54,18 @@
 #[case::no_number("Keep-Alive: timeout=soon\r\n", 1)]
 #[case::another_parameter("Keep-Alive: max=0\r\n", 1)]
 #[tokio::test]
-async fn a_connection_that_its_other_end_will_close_is_not_used_again(
-    #[case] fields: &'static str,
+async fn a_connection_that_the_server_will_close_is_not_reused(
+    #[case] headers: &'static str,
     #[case] connections_used: u32,
 ) {
-    let (address, count) = serve(fields).await;
+    let (address, count) = serve(headers).await;
     let connections = Connections::default();
     for _ in 0..3 {
         let request = Request::get("/")
             .header("host", "x")
             .body(full(""))
             .unwrap();
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
         let sent = connections.send(address, 10, Reuse::Any, request, deadline);
         let body = sent.await.unwrap().into_body().collect().await.unwrap();
         assert_eq!(body.to_bytes(), "ok");
