--- a/crates/steering/src/route/choice.rs
+++ b/crates/steering/src/route/choice.rs
@@ -253,7 +253,7 @@
 }
 
 /// Returns the upstream as a candidate. `None` for an upstream that already received the
-/// request, or a cold one for which this host's quota is used up.
+/// request, or a cold one for which this host's share is used up.
 fn candidate(
     upstream: &Arc<Upstream>,
     rank: usize,
--- a/crates/steering/src/route/pace.rs
+++ b/crates/steering/src/route/pace.rs
@@ -114,7 +114,7 @@
 }
 
 impl RetryShare {
-    /// Creates a quota without any requests counted.
+    /// Creates a share without any requests counted.
     pub fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         RetryShare {
             ratio,
@@ -135,7 +135,7 @@
         (self.ratio, self.slack, self.window) = (ratio, slack, window);
     }
 
-    /// Takes one retry for a request whose attempt failed, and returns whether the quota
+    /// Takes one retry for a request whose attempt failed, and returns whether the share
     /// allows it.
     ///
     /// When retries are scarce, requests of returning callers have precedence, because
