--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -1,5 +1,5 @@
 //! Attempts at a request: candidate zones in order of preference, with retries and
-//! hedged requests as far as the retry budget of the service allows.
+//! hedged requests within the retry budget of the service.
 
 use std::pin::pin;
 use std::sync::Arc;
--- a/crates/caller/src/handlers.rs
+++ b/crates/caller/src/handlers.rs
@@ -262,7 +262,7 @@
     }
 }
 
-/// The response for a failure that tells the relaying host at which stage it occurred.
+/// The response for a failure, with a header that names the stage at which it occurred.
 fn failure_at_stage(kind: ErrorKind, id: &str, stage: &'static str) -> Response<Body> {
     let mut answer = failure(kind.into(), id);
     let stage = HeaderValue::from_static(stage);
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -44,7 +44,7 @@
             name: name.to_owned(),
         },
         Some((kind, _)) => {
-            let reason = format!("`{kind}` can't be target, only upstreams and zones");
+            let reason = format!("`{kind}` can't be drained, only upstreams and zones can");
             return Outcome::failed(BAD_INPUT, reason);
         }
         None => DrainTarget {
--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -188,7 +188,7 @@
             .roster
             .parts
             .iter()
-            .map(|(host, part)| (host, part.incarnation));
+            .map(|(host, share)| (host, share.incarnation));
         let (present, gone): (Vec<_>, Vec<_>) =
             holders.partition(|(host, incarnation)| is_listed(host, *incarnation));
         let own_lenders = self.shared.ledger().lenders(now);
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -171,7 +171,7 @@
     }
 }
 
-/// Asserts that no operation ran twice, and that none ran of which the caller was told otherwise.
+/// Asserts that no operation ran twice, and that no operation reported as not run has run.
 fn assert_consistent(deployment: &TestDeployment, report: &LoadReport) {
     let operations = deployment.operations();
     assert_eq!(report.wrong, 0);
