--- a/src/host/loans.rs
+++ b/src/host/loans.rs
@@ -186,7 +186,7 @@
         };
         let holders = state
             .roster
-            .parts
+            .shares
             .iter()
             .map(|(host, share)| (host, share.incarnation));
         let (present, gone): (Vec<_>, Vec<_>) =
