--- a/crates/gateway/src/traffic/run.rs
+++ b/crates/gateway/src/traffic/run.rs
@@ -325,7 +325,7 @@
         }
     }
 
-    /// The refusal after several upstreams had no token of their rate limit; `come_back` is from
+    /// The refusal after several upstreams had no token of their rate limit; `retry_after` is from
     /// the last one.
     fn rate_limited(&self, retry_after: Duration) -> Refusal {
         self.unless_run(Refusal::NotRun {
